--- a/app/gateway.go
+++ b/app/gateway.go
@@ -58,7 +58,7 @@
 	port := portOf(part.Links)
 	c.Name = part.Links
 	c.Discovery = &control.Discovery{
-		Seeds: withPort(part.Discovery.Seeds, port), Found: part.Discovery.Found, Voters: 2*part.Discovery.Tolerate + 1,
+		Seeds: withPort(part.Discovery.Seeds, port), Bootstrap: part.Discovery.Found, Voters: 2*part.Discovery.Tolerate + 1,
 	}
 	c.ElectionMin, c.HeartbeatEvery = nearElection, nearHeartbeat
 	c.Roles = control.RoleConfig{Protocol: &platform.Protocol, Share: part.Engines.PrefillShare, Lease: part.Engines.OrderLease.D()}
--- a/app/run.go
+++ b/app/run.go
@@ -89,7 +89,7 @@
 	c.Members, c.Dir, c.Quota = part.Members, p.file.Data, quotaOf(part.Quota)
 	c.UpgradeAfter, c.Zones = part.Upgrade.Wait(), p.file.Zones
 	c.Cold = warmup.Bounds{Overshoot: part.Cold.Overshoot, Slack: part.Cold.Slack}
-	c.ReadTable = platform.ParseTable
+	c.ParseTable = platform.ParseTable
 	if part.Discovery != nil {
 		discovered(&c, part)
 	}
--- a/cli/client.go
+++ b/cli/client.go
@@ -138,7 +138,7 @@
 	if c.Effective {
 		return c.effective(s)
 	}
-	var cur control.Current
+	var cur control.CurrentSettings
 	if err := c.first(s.ctx, http.MethodGet, "/v1/settings", nil, &cur); err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 	}
 	base := uint64(max(c.Base, 0))
 	if c.Base < 0 {
-		var cur control.Current
+		var cur control.CurrentSettings
 		if err := c.first(s.ctx, http.MethodGet, "/v1/settings", nil, &cur); err != nil {
 			return err
 		}
@@ -239,7 +239,7 @@
 
 // Run implements the settings set command.
 func (c *setCmd) Run(s *streams) error {
-	var cur control.Current
+	var cur control.CurrentSettings
 	if err := c.first(s.ctx, http.MethodGet, "/v1/settings", nil, &cur); err != nil {
 		return err
 	}
--- a/cli/upgrade.go
+++ b/cli/upgrade.go
@@ -26,7 +26,7 @@
 
 // Run implements the upgrade status command.
 func (c *upgradeStatusCmd) Run(s *streams) error {
-	var u control.Upgrade
+	var u control.UpgradeStatus
 	if err := c.first(s.ctx, http.MethodGet, "/v1/upgrade", nil, &u); err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 // Run implements the upgrade raise command. Not to have raised the version is an error, since
 // whoever asked for it may want to go on with what needs it.
 func (c *upgradeRaiseCmd) Run(s *streams) error {
-	var u control.Upgrade
+	var u control.UpgradeStatus
 	if err := c.first(s.ctx, http.MethodPost, "/v1/upgrade/raise", operator.Raise{Who: who()}, &u); err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func printUpgrade(w io.Writer, u control.Upgrade, asJSON bool) error {
+func printUpgrade(w io.Writer, u control.UpgradeStatus, asJSON bool) error {
 	if asJSON {
 		data, err := json.MarshalIndent(u, "", "  ")
 		if err != nil {
@@ -66,7 +66,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d is in force\n", u.Version)
 	for _, m := range u.Members {
-		fmt.Fprintf(&b, "  %-24s %-8s reads %-8s build %s%s\n", m.ID, memberKind(m), told(m.Told), orUnknown(m.Build), mark(m.Silent, ", silent"))
+		fmt.Fprintf(&b, "  %-24s %-8s reads %-8s build %s%s\n", m.ID, memberKind(m), told(m.Versions), orUnknown(m.Build), mark(m.Silent, ", silent"))
 	}
 	for _, h := range append(u.Holds, u.Waits...) {
 		if h.Cause != compat.Known {
--- a/control/change.go
+++ b/control/change.go
@@ -25,8 +25,8 @@
 	Text []byte
 	Who  string
 	Note string
-	// Dry only checks and compares.
-	Dry bool
+	// DryRun only checks and compares.
+	DryRun bool
 }
 
 // Outcome is the answer to a proposal.
@@ -85,7 +85,7 @@
 	if !c.leads(now) {
 		return Outcome{}, false, nil, c.notLeader()
 	}
-	if res, ok := c.state.Result(p.ID); ok && !p.Dry {
+	if res, ok := c.state.Result(p.ID); ok && !p.DryRun {
 		out, err := c.judgedLocked(p, Outcome{Result: res})
 		return out, true, nil, err
 	}
@@ -99,7 +99,7 @@
 		out, err := c.judgedLocked(p, out)
 		return out, true, nil, err
 	}
-	if p.Dry {
+	if p.DryRun {
 		out.OK = true
 		return out, true, nil, nil
 	}
@@ -162,8 +162,8 @@
 	return out, fault.New(fault.Conflict, fault.StepSettings, c.id, out.Detail)
 }
 
-// Current is what operators see of the settings.
-type Current struct {
+// CurrentSettings is what operators see of the settings.
+type CurrentSettings struct {
 	Revision uint64 `json:"revision"`
 	Text     string `json:"text"`
 	// Current tells that a leader under its lease vouches for it.
@@ -184,13 +184,13 @@
 
 // Settings returns the newest settings of this replica. Only a leader under
 // its lease, or a replica in touch with one, answers.
-func (c *Control) Settings() (Current, error) {
+func (c *Control) Settings() (CurrentSettings, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.fresh(c.clock.Now()) {
-		return Current{}, c.notLeader()
+		return CurrentSettings{}, c.notLeader()
 	}
-	return Current{Revision: c.state.Revision(), Text: string(c.state.Text()), Current: true}, nil
+	return CurrentSettings{Revision: c.state.Revision(), Text: string(c.state.Text()), Current: true}, nil
 }
 
 // History returns the changes after a revision.
--- a/control/control.go
+++ b/control/control.go
@@ -53,8 +53,8 @@
 	Quota quota.Bounds
 	// Cold tells how what cold servers get is judged.
 	Cold warmup.Bounds
-	// ReadTable reads the document of an operator's table; nil if there are none.
-	ReadTable func(document []byte) (*route.Table, error)
+	// ParseTable reads the document of an operator's table; nil if there are none.
+	ParseTable func(document []byte) (*route.Table, error)
 	// Zones are the availability zones of the deployment with the region of each; empty if
 	// the process is not told.
 	Zones map[string]string
@@ -158,7 +158,7 @@
 		broker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.Quota), refused: event.Limiter{Every: refusedEvery, Most: mostRefused},
 	}
 	c.dialer.Log, c.hub.log = c.log, c.log
-	c.hub.name, c.hub.coldBounds, c.hub.read = cfg.Name, cfg.Cold, cfg.ReadTable
+	c.hub.name, c.hub.coldBounds, c.hub.read = cfg.Name, cfg.Cold, cfg.ParseTable
 	c.hub.limits = newLimits(cfg.Clock.Now(), cfg.Name)
 	if cfg.Discovery != nil {
 		c.wg.Go(c.bootDiscovered)
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -14,10 +14,10 @@
 type Discovery struct {
 	// Seeds are the link addresses of some replicas.
 	Seeds []string
-	// Found lets a replica with an empty disk found the group together with
+	// Bootstrap lets a replica with an empty disk found the group together with
 	// the other seeds. It is set only when the whole system starts for the
 	// first time.
-	Found bool
+	Bootstrap bool
 	// Voters is the number of voting replicas that the group grows to.
 	Voters int
 }
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -54,17 +54,17 @@
 	if c.fleetVersion() >= version {
 		return nil
 	}
-	u, err := c.Upgrade()
+	u, err := c.UpgradeStatus()
 	if err != nil {
 		return err
 	}
 	for _, m := range u.Members {
-		if m.Told == nil || !m.Told.Holds(version) {
+		if m.Versions == nil || !m.Versions.Holds(version) {
 			return heldBack(version, m.ID, compat.Unable)
 		}
 	}
 	for c.fleetVersion() < version {
-		if u, err = c.Raise(ctx, "operator"); err != nil {
+		if u, err = c.RaiseVersion(ctx, "operator"); err != nil {
 			return err
 		}
 		if u.Version < version && len(u.Holds) > 0 {
@@ -85,9 +85,9 @@
 	return c.state.Version()
 }
 
-// Evacuated returns the availability zones that are being evacuated. Only a replica that is
+// EvacuatedZones returns the availability zones that are being evacuated. Only a replica that is
 // sure of the newest answers.
-func (c *Control) Evacuated() ([]fleet.EvacuatedZone, error) {
+func (c *Control) EvacuatedZones() ([]fleet.EvacuatedZone, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.fresh(c.clock.Now()) {
--- a/control/identity.go
+++ b/control/identity.go
@@ -51,7 +51,7 @@
 // this is the first start.
 func (c *Control) mayFound() bool {
 	if d := c.cfg.Discovery; d != nil {
-		return d.Found && slices.Contains(d.Seeds, c.cfg.Name)
+		return d.Bootstrap && slices.Contains(d.Seeds, c.cfg.Name)
 	}
 	return c.founds()
 }
--- a/control/table.go
+++ b/control/table.go
@@ -127,8 +127,8 @@
 	return heard, err
 }
 
-// Unreadable takes that a report about a server could not be read.
-func (c *Control) Unreadable(name, from string, err error) {
+// RejectReport takes that a report about a server could not be read.
+func (c *Control) RejectReport(name, from string, err error) {
 	c.refuseReport("unreadable", name, from, err)
 }
 
@@ -140,10 +140,10 @@
 	}
 }
 
-// Near returns the link address of a replica in an availability zone that this one has
+// ReplicaInZone returns the link address of a replica in an availability zone that this one has
 // a link to; empty if there is none, or if this one is in that zone. Servers report
 // themselves about once a second, and their report need not cross zones for it.
-func (c *Control) Near(zone string) string {
+func (c *Control) ReplicaInZone(zone string) string {
 	if zone == "" || zone == c.cfg.Zone {
 		return ""
 	}
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -14,8 +14,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Upgrade is what operators see of the fleet's version.
-type Upgrade struct {
+// UpgradeStatus is what operators see of the fleet's version.
+type UpgradeStatus struct {
 	// Version is in force; Next is what it would rise to, zero if this build knows none.
 	Version int `json:"version"`
 	Next    int `json:"next,omitempty"`
@@ -36,8 +36,8 @@
 	Voter  bool   `json:"voter"`
 	Leader bool   `json:"leader,omitempty"`
 	// Build and Told are what it told last; nil if it told nothing to this leader.
-	Build string        `json:"build,omitempty"`
-	Told  *compat.Range `json:"told,omitempty"`
+	Build    string        `json:"build,omitempty"`
+	Versions *compat.Range `json:"told,omitempty"`
 	// Silent tells that it is out of touch.
 	Silent bool `json:"silent,omitempty"`
 }
@@ -46,28 +46,28 @@
 // heartbeats, and no longer than the restart of a process takes.
 const silentAfter = time.Second
 
-// Upgrade returns the state of the fleet's version, as the leader sees it.
-func (c *Control) Upgrade() (Upgrade, error) {
+// UpgradeStatus returns the state of the fleet's version, as the leader sees it.
+func (c *Control) UpgradeStatus() (UpgradeStatus, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	if !c.leads(now) {
-		return Upgrade{}, c.notLeader()
+		return UpgradeStatus{}, c.notLeader()
 	}
 	return c.upgrade(now), nil
 }
 
 // upgrade looks at the members. Callers hold the lock.
-func (c *Control) upgrade(now time.Time) Upgrade {
+func (c *Control) upgrade(now time.Time) UpgradeStatus {
 	if term := c.node.Term(); term != c.gateTerm {
 		c.gate, c.gateTerm = compat.Gate{}, term
 	}
-	out := Upgrade{Version: c.state.Version(), After: c.cfg.UpgradeAfter, Members: c.upgradeMembers(now)}
+	out := UpgradeStatus{Version: c.state.Version(), After: c.cfg.UpgradeAfter, Members: c.upgradeMembers(now)}
 	members := make([]compat.Member, len(out.Members))
 	for i, m := range out.Members {
 		members[i] = compat.Member{ID: m.ID, Silent: m.Silent}
-		if m.Told != nil {
-			members[i].Told = *m.Told
+		if m.Versions != nil {
+			members[i].Told = *m.Versions
 		}
 	}
 	out.Holds = append([]compat.Hold{}, c.gate.Look(now, out.Version, c.raises(), members)...)
@@ -103,10 +103,10 @@
 		one := UpgradeMember{ID: id, Voter: slices.Contains(m.Voters, id)}
 		if id == c.id {
 			own := c.versions()
-			one.Leader, one.Told, one.Build = true, &own, wire.Build()
+			one.Leader, one.Versions, one.Build = true, &own, wire.Build()
 		} else if told, ok := c.told(id); ok {
 			versions := told.Range()
-			one.Told, one.Build = &versions, told.Build
+			one.Versions, one.Build = &versions, told.Build
 		}
 		one.Silent = id != c.id && (!c.linked(id) || c.node.Silence(now, id) > silentAfter)
 		out = append(out, one)
@@ -141,9 +141,9 @@
 	return id, nil
 }
 
-// Raise raises the fleet's version by one, unless something holds it back: Holds say what then.
+// RaiseVersion raises the fleet's version by one, unless something holds it back: Holds say what then.
 // An error of code change_outcome_unknown means that it may still rise.
-func (c *Control) Raise(ctx context.Context, who string) (Upgrade, error) {
+func (c *Control) RaiseVersion(ctx context.Context, who string) (UpgradeStatus, error) {
 	u, w, err := c.startRaise()
 	if err != nil || w == nil {
 		return u, err
@@ -166,12 +166,12 @@
 }
 
 // startRaise proposes the next version; the channel is nil if something holds it back.
-func (c *Control) startRaise() (Upgrade, chan fleet.Result, error) {
+func (c *Control) startRaise() (UpgradeStatus, chan fleet.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	if !c.leads(now) {
-		return Upgrade{}, nil, c.notLeader()
+		return UpgradeStatus{}, nil, c.notLeader()
 	}
 	u := c.upgrade(now)
 	if len(u.Holds) > 0 {
--- a/operator/evacuate.go
+++ b/operator/evacuate.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	zones, err := k.Evacuated()
+	zones, err := k.EvacuatedZones()
 	if err != nil {
 		return err
 	}
--- a/operator/server.go
+++ b/operator/server.go
@@ -274,7 +274,7 @@
 		return err
 	}
 	out, err := k.Change(c.Request().Context(), control.Proposal{
-		ID: in.ID, Base: in.Base, Text: []byte(in.Text), Who: in.Who, Note: in.Note, Dry: in.Dry,
+		ID: in.ID, Base: in.Base, Text: []byte(in.Text), Who: in.Who, Note: in.Note, DryRun: in.Dry,
 	})
 	if fault.Is(err, fault.Conflict) {
 		f := fault.From(err)
--- a/operator/upgrade.go
+++ b/operator/upgrade.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	u, err := k.Upgrade()
+	u, err := k.UpgradeStatus()
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	if len(in.Who) > maxNote {
 		return fault.New(fault.BadRequest, fault.StepParse, "operator", "want a short value for who")
 	}
-	u, err := k.Raise(c.Request().Context(), in.Who)
+	u, err := k.RaiseVersion(c.Request().Context(), in.Who)
 	if err != nil {
 		return err
 	}
