--- a/control/listing.go
+++ b/control/listing.go
@@ -63,9 +63,9 @@
 		roster = &registry.Roster{}
 		h.rosters[l] = roster
 	}
-	roster.Take(m.List, m.Dropped)
+	roster.Update(m.List, m.Dropped)
 	if m.Alive {
-		h.servers.Heard(now.Add(-m.For), roster.But(m.Silent))
+		h.servers.Refresh(now.Add(-m.For), roster.Except(m.Silent))
 	}
 }
 
@@ -75,8 +75,8 @@
 	news, err := h.servers.Report(now, s)
 	for _, n := range news {
 		h.changed = true
-		if n.Before != nil && n.Before.State == registry.Ready {
-			h.groups[groupOf(*n.Before)]--
+		if n.Previous != nil && n.Previous.State == registry.Ready {
+			h.groups[groupOf(*n.Previous)]--
 		}
 		if n.Server.State == registry.Ready {
 			h.groups[groupOf(n.Server)]++
@@ -136,7 +136,7 @@
 		return
 	}
 	delete(h.news, s.ID)
-	frame, err := wire.Marshal(&wire.Message{Servers: &wire.Servers{List: []registry.Server{s.Told()}}})
+	frame, err := wire.Marshal(&wire.Message{Servers: &wire.Servers{List: []registry.Server{s.Published()}}})
 	if err != nil {
 		return
 	}
@@ -196,7 +196,7 @@
 	list := h.servers.List(now)
 	out := make([]candidate, len(list))
 	for i, s := range list {
-		out[i] = candidate{s, subset.KeyOf(s.Called()), h.groups[groupOf(s)]}
+		out[i] = candidate{s, subset.KeyOf(s.StableName()), h.groups[groupOf(s)]}
 	}
 	return out
 }
@@ -211,7 +211,7 @@
 		wanted := c.server.State != registry.Ready || subset.Includes(g.key, c.key, c.size, len(h.gateways))
 		switch {
 		case wanted && !works:
-			news = append(news, c.server.Told())
+			news = append(news, c.server.Published())
 			if c.server.State == registry.Ready {
 				h.assign(g, c.server)
 			}
--- a/control/roles.go
+++ b/control/roles.go
@@ -107,7 +107,7 @@
 		return
 	}
 	status, err := c.giveOrder(pool, s, o)
-	event.RoleOrdered.Log(c.log, "server", s.Called(), "role", o.Role, "status", status, "error", err, "prefill", o.Prefill,
+	event.RoleOrdered.Log(c.log, "server", s.StableName(), "role", o.Role, "status", status, "error", err, "prefill", o.Prefill,
 		"decode", o.Decode, "prefill_use", o.PrefillUse, "decode_use", o.DecodeUse, "want", o.Want)
 	if status == http.StatusAccepted || errors.Is(err, errNoAnswer) {
 		c.hub.setAway(s.ID, o.Role, engine.RoleSwitch)
@@ -132,7 +132,7 @@
 	if err != nil || report.Busy || report.Role == o.Role {
 		return 0, err
 	}
-	if !s.BornAt(report.Born) {
+	if !s.SameIncarnation(report.Born) {
 		return 0, errRestarted
 	}
 	fence, ok := c.fence(c.clock.Now())
@@ -151,7 +151,7 @@
 func (c *Control) call(ctx context.Context, pool *backend.Pool, s registry.Server, call backend.Call) (int, []byte, error) {
 	h := &c.cfg.Roles.Protocol.Headers
 	r := backend.Request{Address: s.Address, Method: call.Method, Target: call.Path, Host: s.Address, Header: http.Header{}, Body: call.Body, Server: s.ID}
-	r.Header.Set(h.ExpectInstance, s.Called())
+	r.Header.Set(h.ExpectInstance, s.StableName())
 	if call.ContentType != "" {
 		r.Header.Set("Content-Type", call.ContentType)
 	}
--- a/control/selfreport.go
+++ b/control/selfreport.go
@@ -94,5 +94,5 @@
 
 func (c *Control) logReport(id string, f selfreport.Field, pause, ago time.Duration) {
 	s, _ := c.hub.get(id)
-	event.ServerReport.Log(c.log, "server", s.Called(), "service", s.Service, "field", string(f), "pause_ms", pause.Milliseconds(), "age_ms", ago.Milliseconds())
+	event.ServerReport.Log(c.log, "server", s.StableName(), "service", s.Service, "field", string(f), "pause_ms", pause.Milliseconds(), "age_ms", ago.Milliseconds())
 }
--- a/control/table.go
+++ b/control/table.go
@@ -116,13 +116,13 @@
 func (c *Control) Report(s registry.Server) (heard bool, err error) {
 	heard, err = c.hub.report(s)
 	switch {
-	case errors.Is(err, registry.ErrEarlier):
-		c.refuseReport("earlier", s.Called(), s.Address, err)
+	case errors.Is(err, registry.ErrSuperseded):
+		c.refuseReport("earlier", s.StableName(), s.Address, err)
 		err = nil
 	case err != nil:
-		c.refuseReport("another", s.Called(), s.Address, err)
+		c.refuseReport("another", s.StableName(), s.Address, err)
 	case s.State != registry.Ready:
-		event.ServerLeaving.Log(c.log, "server", s.Called(), "service", s.Service, "state", string(s.State))
+		event.ServerLeaving.Log(c.log, "server", s.StableName(), "service", s.Service, "state", string(s.State))
 	}
 	return heard, err
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -94,7 +94,7 @@
 	// key is the number of the gateway's name.
 	key     uint64
 	servers map[string]*Server
-	starts  *registry.Starts
+	starts  *registry.Incarnations
 	// groups are the servers by service and role, made anew when one comes,
 	// goes or changes its role; cursor is where the next choice starts to look.
 	groups map[group][]*Server
@@ -222,7 +222,7 @@
 
 // NewFleet returns a fleet without servers.
 func NewFleet(name, zone string) *Fleet {
-	return &Fleet{key: mix.Name(name), servers: map[string]*Server{}, starts: registry.NewStarts(), sizes: map[group]int{}, readRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, earlyLimits: map[string]ratelimit.Observation{}, trips: map[string]time.Duration{}, Zone: zone, Others: Others{Gateways: 1, Known: 1}}
+	return &Fleet{key: mix.Name(name), servers: map[string]*Server{}, starts: registry.NewIncarnations(), sizes: map[group]int{}, readRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, earlyLimits: map[string]ratelimit.Observation{}, trips: map[string]time.Duration{}, Zone: zone, Others: Others{Gateways: 1, Known: 1}}
 }
 
 // SetOthers takes what is known of the other gateways.
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -10,7 +10,7 @@
 // what they had under way has ended.
 func (f *Fleet) Update(now time.Time, list []registry.Server) (ended []*Server) {
 	for _, r := range list {
-		replaced, err := f.starts.Take(now, r.Newest())
+		replaced, err := f.starts.Record(now, r.Newest())
 		if old := f.end(replaced.ID); old != nil {
 			ended = append(ended, old)
 		}
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -19,7 +19,7 @@
 func (g *Gateway) callTo(q *request, s *dispatch.Server, c backend.Call) backend.Request {
 	r := backend.Request{Address: s.Address, Method: c.Method, Target: c.Path, Host: s.Address, Header: http.Header{}, Body: c.Body}
 	r.Server = s.ID
-	r.Header.Set(g.cfg.Protocol.Headers.ExpectInstance, s.Called())
+	r.Header.Set(g.cfg.Protocol.Headers.ExpectInstance, s.StableName())
 	if c.ContentType != "" {
 		r.Header.Set("Content-Type", c.ContentType)
 	}
--- a/gateway/decode.go
+++ b/gateway/decode.go
@@ -110,7 +110,7 @@
 	metric.RouteFirst.WithLabelValues(name).Observe(first.Seconds())
 	metric.RouteGap.WithLabelValues(name).Observe(stream.gap.Seconds())
 	event.RequestDone.Log(n.g.log, "id", n.q.id, "route", name, "status", status, "ms", n.g.clock.Since(n.q.arrived).Milliseconds(),
-		"first_ms", first.Milliseconds(), "gap_ms", stream.gap.Milliseconds(), "prefill", n.kvFrom.Called(), "decode", s.Called(),
+		"first_ms", first.Milliseconds(), "gap_ms", stream.gap.Milliseconds(), "prefill", n.kvFrom.StableName(), "decode", s.StableName(),
 		"prefill_ms", prefill.Milliseconds(), "rounds", n.prefills, "migrations", n.mover.count)
 }
 
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -304,7 +304,7 @@
 		return
 	}
 	metric.Sends.WithLabelValues(q.service.Name, r.kind.String()).Inc()
-	event.SendFailed.Log(g.log, "id", q.id, "server", s.Called(), "phase", s.Role, "kind", r.kind.String(), "status", r.status, "ms", took.Milliseconds(),
+	event.SendFailed.Log(g.log, "id", q.id, "server", s.StableName(), "phase", s.Role, "kind", r.kind.String(), "status", r.status, "ms", took.Milliseconds(),
 		"pause_ms", s.PauseLeft(g.clock.Now().Add(-took)).Milliseconds(), "error", r.err)
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -142,7 +142,7 @@
 
 // restarted ends what was under way at a start of a server that a later one has replaced.
 func (g *Gateway) restarted(s *dispatch.Server) {
-	event.ServerRestarted.Log(g.log, "server", s.Called(), "address", s.Address)
+	event.ServerRestarted.Log(g.log, "server", s.StableName(), "address", s.Address)
 	g.contents.restarted(s.ID)
 	g.pool.End(s.ID, s.Address)
 }
@@ -229,7 +229,7 @@
 			now := g.clock.Now()
 			g.pool.Sweep(now)
 			for _, s := range g.fleet.sweep(now) {
-				event.PauseOver.Log(g.log, "server", s.Called(), "service", s.Service)
+				event.PauseOver.Log(g.log, "server", s.StableName(), "service", s.Service)
 			}
 			g.contents.sweep(now)
 		}
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -200,7 +200,7 @@
 func (n *generation) noteWasted(cause string) {
 	metric.WastedTokens.WithLabelValues(n.q.service.Name, cause).Add(float64(n.kv.Tokens))
 	event.PromptWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Made,
-		"prefill", n.kvFrom.Called(), "decode", n.pair.Decode.Called())
+		"prefill", n.kvFrom.StableName(), "decode", n.pair.Decode.StableName())
 }
 
 // grow books what a run has made, and has it move on if its engine has no room
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -76,7 +76,7 @@
 		wg.Go(func() {
 			kept, err := g.askKeptAt(ctx, q, &s)
 			if err != nil {
-				event.KeptUnknown.Log(g.log, "server", s.Called(), "error", err)
+				event.KeptUnknown.Log(g.log, "server", s.StableName(), "error", err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -245,11 +245,11 @@
 		told = &registry.Roster{}
 		l.told[address] = told
 	}
-	told.Take(m.List, m.Dropped)
+	told.Update(m.List, m.Dropped)
 	if !m.Alive {
 		return nil
 	}
-	return told.But(m.Silent)
+	return told.Except(m.Silent)
 }
 
 // routes takes a table. The first one must be vouched for as the newest; after
--- a/gateway/look.go
+++ b/gateway/look.go
@@ -37,7 +37,7 @@
 		if err == nil || g.ctx.Err() != nil {
 			return
 		}
-		event.ServerEnded.Log(g.log, "id", q.id, "content", broke.content.String(), "server", s.Called(), "phase", s.Role, "made", made, "error", err)
+		event.ServerEnded.Log(g.log, "id", q.id, "content", broke.content.String(), "server", s.StableName(), "phase", s.Role, "made", made, "error", err)
 		g.contents.ended(broke, s.ID)
 	})
 }
@@ -82,7 +82,7 @@
 	case res.kind != answered || s.Role == "" || p.ParseReport == nil:
 		return nil
 	}
-	if report, err := p.ParseReport(body); err == nil && !s.BornAt(report.Born) {
+	if report, err := p.ParseReport(body); err == nil && !s.SameIncarnation(report.Born) {
 		return errRestarted
 	}
 	return nil
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -260,7 +260,7 @@
 	out.Address = s.Address
 	out.Header = q.send.Header.Clone()
 	out.Header.Set(h.Deadline, strconv.FormatInt(max(limit.Milliseconds(), 1), 10))
-	out.Header.Set(h.ExpectInstance, s.Called())
+	out.Header.Set(h.ExpectInstance, s.StableName())
 	out.Server, out.Admitted = s.ID, true // counted when the server was chosen
 	out.MaxConnections = connectionShare(q.service.MaxConnections, sharing)
 	return out
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -58,7 +58,7 @@
 	for _, u := range r.Unread {
 		metric.ServerReportsUnread.WithLabelValues(s.Service, string(u.Field)).Inc()
 		if g.unreadReports.Allow(r.Heard, id+string(u.Field)) {
-			event.ServerReportUnread.Log(g.log, "server", s.Called(), "service", s.Service, "field", string(u.Field), "values", clipped(u.Values))
+			event.ServerReportUnread.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", clipped(u.Values))
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		g.logLimit(c.Limit, byServer)
 		return
 	}
-	event.ServerReport.Log(g.log, "server", c.Server.Called(), "service", c.Server.Service, "field", string(c.Field),
+	event.ServerReport.Log(g.log, "server", c.Server.StableName(), "service", c.Server.Service, "field", string(c.Field),
 		"pause_ms", c.Pause.Milliseconds(), "age_ms", r.Heard.Sub(r.Sent).Milliseconds())
 }
 
@@ -133,7 +133,7 @@
 	out := map[string]int64{}
 	for _, s := range f.view.List() {
 		if left := s.PauseLeft(f.clock.Now()); left > 0 {
-			out[s.Called()] = left.Milliseconds()
+			out[s.StableName()] = left.Milliseconds()
 		}
 	}
 	return out
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -212,7 +212,7 @@
 		return
 	}
 	s.noted = true
-	event.EventOutOfOrder.Log(s.g.log, "id", s.q.id, "server", s.from.Called(), "verdict", v.Kind.String(), "due", v.Due, "came", string(v.Came[:min(len(v.Came), maxLogged)]),
+	event.EventOutOfOrder.Log(s.g.log, "id", s.q.id, "server", s.from.StableName(), "verdict", v.Kind.String(), "due", v.Due, "came", string(v.Came[:min(len(v.Came), maxLogged)]),
 		"last", s.order.Last(), "resumed", s.q.resumed, "events", s.events)
 }
 
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -65,20 +65,20 @@
 	if s.Next == 0 {
 		return s
 	}
-	return Server{ID: StartID(s.Called(), s.Next), Name: s.Called(), Born: s.Next}
+	return Server{ID: IncarnationID(s.StableName(), s.Next), Name: s.StableName(), Born: s.Next}
 }
 
-// Told returns what is told of a server: all, or only when the next start began if one has
+// Published returns what is told of a server: all, or only when the next start began if one has
 // replaced this one, which makes the rest worthless.
-func (s Server) Told() Server {
+func (s Server) Published() Server {
 	if s.Next == 0 {
 		return s
 	}
 	return Server{ID: s.ID, Name: s.Name, Born: s.Born, State: Gone, Next: s.Next}
 }
 
-// Called returns what the server calls itself.
-func (s Server) Called() string {
+// StableName returns what the server calls itself.
+func (s Server) StableName() string {
 	if s.Name != "" {
 		return s.Name
 	}
@@ -116,21 +116,21 @@
 // Registry is the set of known servers. It is not safe for concurrent use.
 type Registry struct {
 	servers map[string]*entry
-	starts  *Starts
+	starts  *Incarnations
 	// keep is how long a silent server stays listed.
 	keep time.Duration
 }
 
 // New returns an empty registry that forgets servers that are silent for keep.
 func New(keep time.Duration) *Registry {
-	return &Registry{servers: map[string]*entry{}, starts: NewStarts(), keep: keep}
+	return &Registry{servers: map[string]*entry{}, starts: NewIncarnations(), keep: keep}
 }
 
-// News is a server of which a report tells something new.
-type News struct {
+// Update is a server of which a report tells something new.
+type Update struct {
 	Server Server
-	// Before is what was known of it; nil if nothing was.
-	Before *Server
+	// Previous is what was known of it; nil if nothing was.
+	Previous *Server
 }
 
 // Resolve returns a report about a server with the start that it is about.
@@ -148,16 +148,16 @@
 // one, another report of a known one, and first of all the earlier start that a new one
 // replaces. A start that has said that it drains or is gone never becomes ready again. An
 // error tells why a report is not taken: ErrEarlier or ErrAnother. A late report is none.
-func (r *Registry) Report(now time.Time, s Server) ([]News, error) {
+func (r *Registry) Report(now time.Time, s Server) ([]Update, error) {
 	s = r.Resolve(s)
 	if r.contradicts(s) {
-		return nil, ErrAnother
+		return nil, ErrMismatch
 	}
-	replaced, err := r.starts.Take(now, s)
+	replaced, err := r.starts.Record(now, s)
 	if err != nil {
 		return nil, err
 	}
-	var out []News
+	var out []Update
 	if replaced.ID != "" {
 		out = append(out, r.replace(replaced, s))
 	}
@@ -169,32 +169,32 @@
 
 // replace ends a start since a later one has come. It is news also if the earlier one has
 // gone or was forgotten before: who was told only that may still wait for its answers.
-func (r *Registry) replace(start, by Server) News {
+func (r *Registry) replace(start, by Server) Update {
 	start.State, start.Next = Gone, by.Born
 	old := r.servers[start.ID]
 	if old == nil {
-		return News{Server: start}
+		return Update{Server: start}
 	}
 	before := old.server
 	old.server.State, old.server.Next = Gone, by.Born
-	return News{Server: old.server, Before: &before}
+	return Update{Server: old.server, Previous: &before}
 }
 
 // take puts a report in the place of the one before.
-func (r *Registry) take(now time.Time, s Server) (News, bool) {
+func (r *Registry) take(now time.Time, s Server) (Update, bool) {
 	heard := now.Add(-s.Age)
 	coldUntil := heard.Add(s.Cold)
 	s.Age, s.Cold = 0, max(coldUntil.Sub(now), 0)
 	old := r.servers[s.ID]
 	if old == nil {
 		r.servers[s.ID] = &entry{server: s, heardAt: heard, coldUntil: coldUntil}
-		return News{Server: s}, true
+		return Update{Server: s}, true
 	}
 	if heard.After(old.heardAt) {
 		old.heardAt = heard
 	}
 	if rank(s.State) < rank(old.server.State) || s.Sequence < old.server.Sequence && s.State == old.server.State {
-		return News{}, false
+		return Update{}, false
 	}
 	if s.State == Gone {
 		s = old.server
@@ -206,11 +206,11 @@
 	}
 	if same(old.server, s) && !cold {
 		old.server = s
-		return News{}, false
+		return Update{}, false
 	}
 	before := old.server // copied for news only: most reports have none, by hundreds a second
 	old.server = s
-	return News{Server: s, Before: &before}, true
+	return Update{Server: s, Previous: &before}, true
 }
 
 func rank(s State) int {
@@ -236,8 +236,8 @@
 // from before may come late, and must not bring it back.
 const leftKeep = time.Minute
 
-// Heard takes that servers have reported themselves, with nothing new, at a time.
-func (r *Registry) Heard(at time.Time, ids []string) {
+// Refresh takes that servers have reported themselves, with nothing new, at a time.
+func (r *Registry) Refresh(at time.Time, ids []string) {
 	for _, id := range ids {
 		if e := r.servers[id]; e != nil && at.After(e.heardAt) {
 			e.heardAt = at
--- a/registry/roster.go
+++ b/registry/roster.go
@@ -7,8 +7,8 @@
 	servers map[string]bool
 }
 
-// Take takes what the peer tells of servers, and of which it tells no more.
-func (r *Roster) Take(list []Server, dropped []string) {
+// Update takes what the peer tells of servers, and of which it tells no more.
+func (r *Roster) Update(list []Server, dropped []string) {
 	if r.servers == nil {
 		r.servers = map[string]bool{}
 	}
@@ -24,8 +24,8 @@
 	}
 }
 
-// But returns the servers of the roster but for those that are named.
-func (r *Roster) But(silent []string) []string {
+// Except returns the servers of the roster but for those that are named.
+func (r *Roster) Except(silent []string) []string {
 	skip := map[string]bool{}
 	for _, id := range silent {
 		skip[id] = true
--- a/registry/start.go
+++ b/registry/start.go
@@ -16,10 +16,10 @@
 // share one by chance once in a hundred million years of such days.
 const startBytes = 8
 
-// StartID names one start of a server: its name if it does not tell when it was born, else
+// IncarnationID names one start of a server: its name if it does not tell when it was born, else
 // a hash that is no longer than a name, so that what passes between processes does not
 // grow.
-func StartID(name string, born int64) string {
+func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
@@ -31,16 +31,16 @@
 // other programs lose digits.
 const MaxBorn = 1 << 53
 
-// BornAt tells whether a time of a start that a server has told of itself is that of s. One
+// SameIncarnation tells whether a time of a start that a server has told of itself is that of s. One
 // that either does not tell is taken to be.
-func (s Server) BornAt(told int64) bool { return told == 0 || s.Born == 0 || told == s.Born }
+func (s Server) SameIncarnation(told int64) bool { return told == 0 || s.Born == 0 || told == s.Born }
 
 // startKeep is how long the newest start of a name is remembered after its last report: an
 // earlier one must not come back, however late its reports are.
 const startKeep = time.Hour
 
-// Starts knows the newest start of each server.
-type Starts struct{ newest map[string]start }
+// Incarnations knows the newest start of each server.
+type Incarnations struct{ newest map[string]start }
 
 type start struct {
 	id   string
@@ -48,46 +48,46 @@
 	at   time.Time
 }
 
-// NewStarts returns an empty set.
-func NewStarts() *Starts { return &Starts{newest: map[string]start{}} }
+// NewIncarnations returns an empty set.
+func NewIncarnations() *Incarnations { return &Incarnations{newest: map[string]start{}} }
 
 // Errors of reports about servers.
 var (
-	// ErrEarlier tells that a later start of the server is known.
-	ErrEarlier = errors.New("registry: a later start of the server is known")
-	// ErrAnother tells that the start is known with another service or address.
-	ErrAnother = errors.New("registry: the start is known with another service or address")
+	// ErrSuperseded tells that a later start of the server is known.
+	ErrSuperseded = errors.New("registry: a later start of the server is known")
+	// ErrMismatch tells that the start is known with another service or address.
+	ErrMismatch = errors.New("registry: the start is known with another service or address")
 )
 
 // Resolve returns a report about a server with the start that it is about. A report that tells
 // no start is about the newest if it says that the server has gone, since some servers say
 // only that; else it is a report of an earlier start.
-func (st *Starts) Resolve(s Server) Server {
-	if n, known := st.newest[s.Called()]; known && s.Born == 0 && n.born > 0 && s.State == Gone {
-		s.ID, s.Name, s.Born = n.id, s.Called(), n.born
+func (st *Incarnations) Resolve(s Server) Server {
+	if n, known := st.newest[s.StableName()]; known && s.Born == 0 && n.born > 0 && s.State == Gone {
+		s.ID, s.Name, s.Born = n.id, s.StableName(), n.born
 	}
 	return s
 }
 
-// Take notes a start. It returns what names the one that it replaces, nothing if there is
+// Record notes a start. It returns what names the one that it replaces, nothing if there is
 // none, and ErrEarlier if a later one is known.
-func (st *Starts) Take(now time.Time, s Server) (replaced Server, err error) {
-	n, known := st.newest[s.Called()]
+func (st *Incarnations) Record(now time.Time, s Server) (replaced Server, err error) {
+	n, known := st.newest[s.StableName()]
 	switch {
 	case known && n.born > s.Born:
-		return Server{}, ErrEarlier
+		return Server{}, ErrSuperseded
 	case known && n.born < s.Born:
 		replaced = Server{ID: n.id, Born: n.born}
 		if n.born != 0 {
-			replaced.Name = s.Called()
+			replaced.Name = s.StableName()
 		}
 	}
-	st.newest[s.Called()] = start{id: s.ID, born: s.Born, at: now}
+	st.newest[s.StableName()] = start{id: s.ID, born: s.Born, at: now}
 	return replaced, nil
 }
 
 // Sweep forgets servers of which nothing was heard for long.
-func (st *Starts) Sweep(now time.Time) {
+func (st *Incarnations) Sweep(now time.Time) {
 	for name, n := range st.newest {
 		if now.Sub(n.at) > startKeep {
 			delete(st.newest, name)
