--- a/control/hub_table.go
+++ b/control/hub_table.go
@@ -47,7 +47,7 @@
 		return *t
 	}
 	read, err := h.read(t.Source)
-	if err != nil || read.Check() != nil || read.Version != t.Version {
+	if err != nil || read.Validate() != nil || read.Version != t.Version {
 		event.TableReadAnew.Log(h.log, "version", t.Version, "error", err)
 		return *t
 	}
--- a/control/table.go
+++ b/control/table.go
@@ -20,7 +20,7 @@
 // change_outcome_unknown means that the table may still come into force; the
 // same table can be sent again.
 func (c *Control) PutTable(ctx context.Context, t *route.Table) error {
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		event.SettingRefused.Log(c.log, "version", t.Version, "detail", err.Error())
 		return fault.Wrap(err, fault.BadSettings, fault.StepSettings, "operator")
 	}
@@ -64,7 +64,7 @@
 	if !c.leads(now) {
 		return "", nil, false, c.notLeader()
 	}
-	id, w, err := c.proposeOnce(now, fmt.Sprint("table ", t.Version), fleet.Change{Table: t.Kept()})
+	id, w, err := c.proposeOnce(now, fmt.Sprint("table ", t.Version), fleet.Change{Table: t.Persisted()})
 	return id, w, false, err
 }
 
--- a/gateway/await_server.go
+++ b/gateway/await_server.go
@@ -59,7 +59,7 @@
 	if likely > limit {
 		return dispatch.Server{}, false
 	}
-	w := &serverWaiter{work: q.work, avoid: q.tried, priority: q.organisation.Rank(q.route), due: q.arrived.Add(q.route.Target), got: make(chan dispatch.Server, 1)}
+	w := &serverWaiter{work: q.work, avoid: q.tried, priority: q.organisation.PriorityFor(q.route), due: q.arrived.Add(q.route.Target), got: make(chan dispatch.Server, 1)}
 	f.mu.Lock()
 	f.limited.add(w)
 	f.servePlain()
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -113,7 +113,7 @@
 		if left, ok := n.g.fleet.awaitsPause(q.work, registry.Decode); ok && left > n.g.clock.Until(until) {
 			return false
 		}
-		wait := &dispatch.Waiting{Priority: q.organisation.Rank(q.route), Work: q.work, Engine: q.service.Engine, Avoid: q.tried}
+		wait := &dispatch.Waiting{Priority: q.organisation.PriorityFor(q.route), Work: q.work, Engine: q.service.Engine, Avoid: q.tried}
 		wait.Work.Beyond = n.g.limits.beyond(q)
 		if !n.stream.started && q.route.Target > 0 {
 			wait.Work.Within = time.Duration(readShare*float64(q.route.Target)) - n.g.clock.Since(q.arrived)
--- a/gateway/key.go
+++ b/gateway/key.go
@@ -40,7 +40,7 @@
 	}
 	key, ok := bearer(h[authorization])
 	if ok {
-		q.organisation = table.Holder(key)
+		q.organisation = table.OrganisationByKey(key)
 	}
 	if q.organisation != nil || q.route.Public {
 		return nil
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -97,7 +97,7 @@
 	if q.organisation == nil || q.organisation.Rate <= 0 {
 		return nil
 	}
-	q.size = q.organisation.Size(tokens)
+	q.size = q.organisation.Cost(tokens)
 	v := g.limits.charge(q)
 	if v.OK {
 		q.charged = true
--- a/route/organisation.go
+++ b/route/organisation.go
@@ -46,9 +46,9 @@
 	Regions []string `cbor:"8,keyasint,omitempty" json:"regions,omitempty"`
 }
 
-// Size returns what a request counts, which names so many tokens; zero if it names
+// Cost returns what a request counts, which names so many tokens; zero if it names
 // none.
-func (o *Organisation) Size(tokens int) float64 {
+func (o *Organisation) Cost(tokens int) float64 {
 	switch {
 	case o.Unit == Requests:
 		return 1
@@ -58,9 +58,9 @@
 	return float64(o.PlainTokens)
 }
 
-// Rank returns the priority of the organisation's requests on a route. No organisation
+// PriorityFor returns the priority of the organisation's requests on a route. No organisation
 // leaves the route's.
-func (o *Organisation) Rank(r *Route) int {
+func (o *Organisation) PriorityFor(r *Route) int {
 	if o == nil || o.Priority == nil {
 		return r.Priority
 	}
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// Holder returns the organisation that holds a key, or nil.
-func (t *Table) Holder(key string) *Organisation { return t.holders[DigestOf(key)] }
+// OrganisationByKey returns the organisation that holds a key, or nil.
+func (t *Table) OrganisationByKey(key string) *Organisation { return t.holders[DigestOf(key)] }
 
 // Organisation returns an organisation by name, or nil.
 func (t *Table) Organisation(name string) *Organisation {
--- a/route/route.go
+++ b/route/route.go
@@ -130,8 +130,8 @@
 	holders  map[KeyDigest]*Organisation
 }
 
-// Check returns what is wrong with a table, naming the place.
-func (t *Table) Check() error {
+// Validate returns what is wrong with a table, naming the place.
+func (t *Table) Validate() error {
 	known := map[string]bool{}
 	for i, s := range t.Services {
 		if s.Name == "" || known[s.Name] {
@@ -222,9 +222,9 @@
 	return nil
 }
 
-// Kept returns the table as the log keeps it: without what builds of the base version do not
+// Persisted returns the table as the log keeps it: without what builds of the base version do not
 // read. That stands in Source.
-func (t *Table) Kept() *Table {
+func (t *Table) Persisted() *Table {
 	out := Table{Version: t.Version, Limits: t.Limits, Source: t.Source, Keyed: t.Keyed, Routes: slices.Clone(t.Routes), Services: slices.Clone(t.Services), Organisations: slices.Clone(t.Organisations)}
 	for i := range out.Routes {
 		out.Routes[i].Regions = nil
