--- a/control/engines.go
+++ b/control/engines.go
@@ -59,9 +59,9 @@
 		if s.Role == "" || s.State != registry.Ready || h.isEvacuated(s.Zone) || h.isLimited(now, s.ID) {
 			continue
 		}
-		e := roles.Engine{ID: s.ID, Zone: s.Zone, Role: s.Role, Busy: h.sum[s.ID].Prefill > 0, Used: h.used(s.Service, h.sum[s.ID])}
+		e := roles.Engine{ID: s.ID, Zone: s.Zone, Role: s.Role, Busy: h.sum[s.ID].Prefill > 0, Utilization: h.used(s.Service, h.sum[s.ID])}
 		if a, ok := h.away[s.ID]; ok {
-			e.Role, e.Away = a.role, true
+			e.Role, e.Switching = a.role, true
 		}
 		out[s.Service] = append(out[s.Service], e)
 	}
--- a/control/roles.go
+++ b/control/roles.go
@@ -85,7 +85,7 @@
 	if term > firstTerm {
 		return roles.Resume(c.cfg.Roles.Share)
 	}
-	return &roles.Planner{Share: c.cfg.Roles.Share}
+	return &roles.Planner{PrefillShare: c.cfg.Roles.Share}
 }
 
 // fence returns the term as a fence while this replica leads under its lease.
@@ -100,7 +100,7 @@
 
 // orderRole gives one order. The engine is asked first how many orders it has
 // taken, so that this one has no effect if it is carried out after another.
-func (c *Control) orderRole(pool *backend.Pool, service string, o roles.Order) {
+func (c *Control) orderRole(pool *backend.Pool, service string, o roles.Change) {
 	s, known := c.hub.get(o.Engine)
 	engine, ok := c.hub.engineOf(service)
 	if !known || !ok {
@@ -108,7 +108,7 @@
 	}
 	status, err := c.giveOrder(pool, s, o)
 	event.RoleOrdered.Log(c.log, "server", s.StableName(), "role", o.Role, "status", status, "error", err, "prefill", o.Prefill,
-		"decode", o.Decode, "prefill_use", o.PrefillUse, "decode_use", o.DecodeUse, "want", o.Want)
+		"decode", o.Decode, "prefill_use", o.PrefillUtilization, "decode_use", o.DecodeUtilization, "want", o.WantPrefill)
 	if status == http.StatusAccepted || errors.Is(err, errNoAnswer) {
 		c.hub.setAway(s.ID, o.Role, engine.RoleSwitch)
 	}
@@ -120,7 +120,7 @@
 // errRestarted tells that an engine has started again since it was planned with.
 var errRestarted = errors.New("control: the engine has started again")
 
-func (c *Control) giveOrder(pool *backend.Pool, s registry.Server, o roles.Order) (int, error) {
+func (c *Control) giveOrder(pool *backend.Pool, s registry.Server, o roles.Change) (int, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
 	protocol := c.cfg.Roles.Protocol
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -19,24 +19,24 @@
 	ID, Zone string
 	// Role is the role that it has, or will have once a change is done.
 	Role string
-	// Away tells that a change of its role is under way.
-	Away bool
+	// Switching tells that a change of its role is under way.
+	Switching bool
 	// Busy tells that a prefill engine has prompts to read; Used is the share
 	// of a decode engine that its runs fill.
-	Busy bool
-	Used float64
+	Busy        bool
+	Utilization float64
 }
 
-// Order is a change of one engine's role.
-type Order struct {
+// Change is a change of one engine's role.
+type Change struct {
 	Engine string
 	Role   string
 	// Why tells the balance that led to it: the engines of each role, how busy
 	// they are, and how many prefill engines are wanted.
-	Prefill, Decode int
-	PrefillUse      float64
-	DecodeUse       float64
-	Want            float64
+	Prefill, Decode    int
+	PrefillUtilization float64
+	DecodeUtilization  float64
+	WantPrefill        float64
 }
 
 // Constants of the planner.
@@ -72,8 +72,8 @@
 
 // Planner plans for one service.
 type Planner struct {
-	// Share is the share of prefill engines while there is no load to tell.
-	Share float64
+	// PrefillShare is the share of prefill engines while there is no load to tell.
+	PrefillShare float64
 
 	prefillUse, decodeUse float64
 	// useSince is when the engines began to be used.
@@ -89,13 +89,13 @@
 
 // Resume returns the planner of a leader that follows another one: the roles
 // that it finds are those that a load has asked for.
-func Resume(share float64) *Planner { return &Planner{Share: share, loaded: true} }
+func Resume(share float64) *Planner { return &Planner{PrefillShare: share, loaded: true} }
 
 // Plan takes what is known now and returns the next orders, if there are any. Prefill
 // engines that the load leaves idle change all at once: nobody misses them where they
 // are, and a burst may come before a next step. Decode engines change a few at a time,
 // since each takes its room along.
-func (p *Planner) Plan(now time.Time, engines []Engine) []Order {
+func (p *Planner) Plan(now time.Time, engines []Engine) []Change {
 	p.Observe(now, engines)
 	prefill, decode, away := split(engines)
 	if len(engines) != p.count {
@@ -115,11 +115,11 @@
 
 // orders returns the changes that bring the number of prefill engines towards
 // the one that is wanted.
-func (p *Planner) orders(prefill, decode []Engine, want float64) []Order {
-	var out []Order
+func (p *Planner) orders(prefill, decode []Engine, want float64) []Change {
+	var out []Change
 	most := max((len(prefill)+len(decode))/batchOf, 1)
 	for len(out) < len(prefill)+len(decode) {
-		o := Order{Prefill: len(prefill), Decode: len(decode), PrefillUse: p.prefillUse, DecodeUse: p.decodeUse, Want: want}
+		o := Change{Prefill: len(prefill), Decode: len(decode), PrefillUtilization: p.prefillUse, DecodeUtilization: p.decodeUse, WantPrefill: want}
 		switch off := want - float64(len(prefill)); {
 		case off < -offBy && len(prefill) > 1:
 			o.Engine, o.Role = surplus(prefill), registry.Decode
@@ -149,7 +149,7 @@
 
 func split(engines []Engine) (prefill, decode []Engine, away bool) {
 	for _, e := range engines {
-		away = away || e.Away
+		away = away || e.Switching
 		switch e.Role {
 		case registry.Prefill:
 			prefill = append(prefill, e)
@@ -188,7 +188,7 @@
 func used(list []Engine) float64 {
 	sum := 0.0
 	for _, e := range list {
-		sum += e.Used
+		sum += e.Utilization
 	}
 	return sum / float64(max(len(list), 1))
 }
@@ -204,7 +204,7 @@
 		if p.loaded {
 			return float64(prefill) // what the load asked for stays
 		}
-		return math.Max(math.Round(p.Share*float64(all)), 1)
+		return math.Max(math.Round(p.PrefillShare*float64(all)), 1)
 	}
 	reads, runs := float64(prefill)*p.prefillUse, float64(decode)*p.decodeUse
 	return float64(all) * reads / (reads + balance*runs)
@@ -217,7 +217,7 @@
 
 // floor is the least number of prefill engines.
 func (p *Planner) floor(all int) float64 {
-	return math.Ceil(floorShare * p.Share * float64(all))
+	return math.Ceil(floorShare * p.PrefillShare * float64(all))
 }
 
 // surplus returns a prefill engine of the zone that has most of them, an idle one if
@@ -252,8 +252,8 @@
 		if zones[a.Zone] != zones[b.Zone] {
 			return zones[a.Zone] < zones[b.Zone]
 		}
-		if a.Used != b.Used {
-			return a.Used < b.Used
+		if a.Utilization != b.Utilization {
+			return a.Utilization < b.Utilization
 		}
 		return a.ID < b.ID
 	})
