--- a/agent/call.go
+++ b/agent/call.go
@@ -69,12 +69,12 @@
 // hold the lock.
 func (a *Agent) order(l *wire.Link, m *order.Order) {
 	if m.Floor {
-		a.gate.Floor(m.Fence)
+		a.gate.SetFloor(m.Fence)
 		return
 	}
-	if a.engine == nil || !a.gate.Pass(m.Fence) {
+	if a.engine == nil || !a.gate.Allow(m.Fence) {
 		event.OrderStale.Log(a.log, "order", m.ID, "term", m.Fence.Term, "seq", m.Fence.Seq)
-		high, _ := a.gate.High()
+		high, _ := a.gate.Highest()
 		_ = l.Send(&wire.Message{Ordered: &order.Result{ID: m.ID, Detail: fault.StaleFence.ID, Fence: high}})
 		return
 	}
--- a/agent/dump.go
+++ b/agent/dump.go
@@ -26,7 +26,7 @@
 func (a *Agent) Dump() any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	fence, _ := a.gate.High()
+	fence, _ := a.gate.Highest()
 	d := Dump{
 		Name: a.cfg.Name, Revision: a.store.Revision(), Leaving: a.leaving(), EngineOK: a.engineOK,
 		Models: a.models, Slots: a.work.Slots(), Work: a.work.Dump(), KV: a.kv.Dump(), Fence: fence,
--- a/control/orders.go
+++ b/control/orders.go
@@ -21,9 +21,9 @@
 	}
 	models := map[string]order.Model{}
 	for name, m := range tree.Fleet.Models {
-		models[name] = order.Model{Version: m.Version, Adapters: m.Adapters, Weights: int64(m.Weights)}
+		models[name] = order.Model{Version: m.Version, Adapters: m.Adapters, WeightBytes: int64(m.Weights)}
 	}
-	limits := order.Limits{}
+	limits := order.StoreRates{}
 	for site := range tree.Fleet.Sites {
 		limits[site] = tree.At(site, "", "").WeightRate
 	}
@@ -55,10 +55,10 @@
 		s, up := has[p.Name]
 		out = append(out, order.Server{
 			Name: p.Name, Site: p.Site, Pool: p.Pool, Role: p.Role, HasRole: s.Role, Want: p.Models, Has: s.Assets,
-			Up: up, Leaving: s.Leaving,
+			Reachable: up, Leaving: s.Leaving,
 		})
 	}
 	return out
 }
 
-func (c *Control) ordered(r *order.Result) { c.planner.Done(*r) }
+func (c *Control) ordered(r *order.Result) { c.planner.Complete(*r) }
--- a/order/order.go
+++ b/order/order.go
@@ -47,17 +47,17 @@
 	open bool
 }
 
-// Floor raises the fence to f and opens the gate. It must come from a leader
+// SetFloor raises the fence to f and opens the gate. It must come from a leader
 // that holds a live majority lease; a lower fence changes nothing.
-func (g *Gate) Floor(f Fence) {
+func (g *Gate) SetFloor(f Fence) {
 	if !f.Less(g.high) {
 		g.high = f
 		g.open = true
 	}
 }
 
-// Pass tells whether an order with fence f may be carried out.
-func (g *Gate) Pass(f Fence) bool {
+// Allow tells whether an order with fence f may be carried out.
+func (g *Gate) Allow(f Fence) bool {
 	if !g.open || f.Less(g.high) || f == g.high {
 		return false
 	}
@@ -65,5 +65,5 @@
 	return true
 }
 
-// High returns the highest fence seen, and whether the gate is open.
-func (g *Gate) High() (Fence, bool) { return g.high, g.open }
+// Highest returns the highest fence seen, and whether the gate is open.
+func (g *Gate) Highest() (Fence, bool) { return g.high, g.open }
--- a/order/plan.go
+++ b/order/plan.go
@@ -19,16 +19,16 @@
 	// Want are the models that the settings give to it; Has are the assets that
 	// it has loaded, as engine.Asset names them.
 	Want, Has []string
-	// Up tells that its agent is in reach, Leaving that it takes no new work.
-	Up, Leaving bool
+	// Reachable tells that its agent is in reach, Leaving that it takes no new work.
+	Reachable, Leaving bool
 }
 
 // Model is what the planner needs to know of a model.
 type Model struct {
 	Version  string
 	Adapters []string
-	// Weights is its size in bytes.
-	Weights int64
+	// WeightBytes is its size in bytes.
+	WeightBytes int64
 }
 
 // version returns the version of a model that the server has; empty if none.
@@ -42,8 +42,8 @@
 	return ""
 }
 
-// Limits are the rates of the weight store by site, in bytes a second.
-type Limits map[string]int64
+// StoreRates are the rates of the weight store by site, in bytes a second.
+type StoreRates map[string]int64
 
 // Planner decides which orders to give so that each server gets the models of
 // the settings. The loads of a site share the rate of the weight store, and a
@@ -73,7 +73,7 @@
 
 // Plan returns the orders to give now. Term is the term of the leader, which
 // must hold a live lease.
-func (p *Planner) Plan(now time.Time, term uint64, servers []Server, models map[string]Model, lim Limits) []Order {
+func (p *Planner) Plan(now time.Time, term uint64, servers []Server, models map[string]Model, lim StoreRates) []Order {
 	if p.pending == nil {
 		p.pending = map[string]pending{}
 	}
@@ -81,7 +81,7 @@
 	sort.Slice(servers, func(i, j int) bool { return servers[i].Name < servers[j].Name })
 	var out []Order
 	for _, s := range servers {
-		if !s.Up || s.Leaving {
+		if !s.Reachable || s.Leaving {
 			continue
 		}
 		if w, busy := p.pending[s.Name]; busy {
@@ -172,7 +172,7 @@
 // spared tells whether a server may lose a model: another one of the pool that
 // is up has it, or no other one wants it.
 func spared(model string, s Server, all []Server) bool {
-	held := mates(s, all, func(o Server) bool { return o.Up && !o.Leaving && o.version(model) != "" })
+	held := mates(s, all, func(o Server) bool { return o.Reachable && !o.Leaving && o.version(model) != "" })
 	wanted := slices.Contains(s.Want, model) || mates(s, all, func(o Server) bool { return slices.Contains(o.Want, model) })
 	return held || !wanted
 }
@@ -186,16 +186,16 @@
 			continue
 		}
 		wanted = wanted || o.Role == s.HasRole
-		held = held || o.Up && !o.Leaving && o.HasRole == s.HasRole
+		held = held || o.Reachable && !o.Leaving && o.HasRole == s.HasRole
 	}
 	return held || !wanted
 }
 
-func (p *Planner) order(now time.Time, term uint64, s Server, do engine.Order, models map[string]Model, lim Limits) Order {
+func (p *Planner) order(now time.Time, term uint64, s Server, do engine.Order, models map[string]Model, lim StoreRates) Order {
 	p.seq++
 	took := minLoad
 	if rate := lim[s.Site]; do.Action == engine.ActionLoad && rate > 0 {
-		took = max(took, time.Duration(float64(models[do.Model].Weights)/float64(rate)*float64(time.Second)))
+		took = max(took, time.Duration(float64(models[do.Model].WeightBytes)/float64(rate)*float64(time.Second)))
 	}
 	site := s.Site
 	if do.Action != engine.ActionLoad {
@@ -206,9 +206,9 @@
 	return o
 }
 
-// Done takes the result of an order. One that failed may be given again; one
+// Complete takes the result of an order. One that failed may be given again; one
 // that went well is over when the server's report shows it.
-func (p *Planner) Done(r Result) {
+func (p *Planner) Complete(r Result) {
 	for name, w := range p.pending {
 		switch {
 		case w.id != r.ID:
