--- a/eventstream/block.go
+++ b/eventstream/block.go
@@ -9,21 +9,21 @@
 	// Event: a block with data, which a caller takes as an event. One `data` line
 	// is enough, also an empty one.
 	Event
-	// Quiet: a block without data: comments, a blank line by itself, `retry`, or
+	// NoData: a block without data: comments, a blank line by itself, `retry`, or
 	// an ID alone. It is no event, but its ID counts.
-	Quiet
+	NoData
 	// LineEnd: the LF of a CR LF whose CR ended the block before, which was
 	// passed on without waiting. It is no blank line and stands alone in Raw. After
 	// a block that was kept from the caller it does no harm: to the caller it is an
 	// empty block.
 	LineEnd
-	// Mark: the byte order mark before a stream. A stream that goes on in an answer
+	// BOM: the byte order mark before a stream. A stream that goes on in an answer
 	// that has begun must not bring its own: there it is text, and spoils the name
 	// of the field after it.
-	Mark
+	BOM
 )
 
-var kindNames = [...]string{None: "none", Event: "event", Quiet: "quiet", LineEnd: "line end", Mark: "mark"}
+var kindNames = [...]string{None: "none", Event: "event", NoData: "quiet", LineEnd: "line end", BOM: "mark"}
 
 // String names the kind for logs.
 func (k Kind) String() string {
--- a/eventstream/cutter.go
+++ b/eventstream/cutter.go
@@ -41,7 +41,7 @@
 		at = end + 1
 		c.cr = piece[end] == '\r'
 		if !c.inLine {
-			return at, Quiet
+			return at, NoData
 		}
 		c.inLine = false
 		if c.takeLF(piece[at:]) {
@@ -81,7 +81,7 @@
 		return len(piece), None
 	}
 	c.begun = true
-	return len(mark) - held, Mark
+	return len(mark) - held, BOM
 }
 
 // window is how many bytes are searched at once: some are worth the call, and so
--- a/eventstream/field.go
+++ b/eventstream/field.go
@@ -4,7 +4,7 @@
 
 // interpret reads the fields of a whole block.
 func interpret(raw []byte) Block {
-	block := Block{Kind: Quiet, Raw: raw}
+	block := Block{Kind: NoData, Raw: raw}
 	for at := 0; at < len(raw); {
 		end := at + lineLength(raw[at:])
 		block.field(raw[at:end])
--- a/eventstream/reader.go
+++ b/eventstream/reader.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// MaxBlock is the most bytes that a block may have, and what a Reader holds at
+// MaxBlockBytes is the most bytes that a block may have, and what a Reader holds at
 // most. An event of some tokens has a few hundred bytes; the bound only keeps a
 // stream that never ends an event from taking a process's memory. It is a quarter
 // of the longest plain answer that a gateway holds.
-const MaxBlock = 4 << 20
+const MaxBlockBytes = 4 << 20
 
 // TooLongError tells that a block had more than Limit bytes and no end. Nothing of
 // it was given back. The stream can't be read on.
@@ -36,18 +36,18 @@
 	*r = Reader{held: r.held[:0]}
 }
 
-// Rest returns the begin of a block that is not whole yet. A stream that ends here
+// Incomplete returns the begin of a block that is not whole yet. A stream that ends here
 // never made it an event; a caller that got it would take what follows for a
 // part of it. It is valid until the next call.
-func (r *Reader) Rest() []byte {
+func (r *Reader) Incomplete() []byte {
 	if r.given {
 		return nil
 	}
 	return r.held
 }
 
-// Size returns the bytes of memory that the Reader has.
-func (r *Reader) Size() int { return cap(r.held) }
+// MemoryBytes returns the bytes of memory that the Reader has.
+func (r *Reader) MemoryBytes() int { return cap(r.held) }
 
 // Next takes bytes of the piece up to the end of the first block, and returns that
 // block and the bytes not yet taken. If no block ends in the piece, all of it is
@@ -64,11 +64,11 @@
 		return Block{}, nil, nil
 	}
 	n, kind := r.cut.next(piece, len(r.held))
-	if len(r.held)+n > MaxBlock {
-		r.held, r.err = r.held[:0], &TooLongError{Limit: MaxBlock}
+	if len(r.held)+n > MaxBlockBytes {
+		r.held, r.err = r.held[:0], &TooLongError{Limit: MaxBlockBytes}
 		return Block{}, piece, r.err
 	}
-	if kind == Quiet && r.cut.takeLF(piece[n:]) {
+	if kind == NoData && r.cut.takeLF(piece[n:]) {
 		n++
 	}
 	return r.take(piece[:n], kind), piece[n:], nil
@@ -84,7 +84,7 @@
 	switch kind {
 	case None:
 		return Block{}
-	case Quiet:
+	case NoData:
 		return interpret(raw)
 	}
 	return Block{Kind: kind, Raw: raw}
--- a/eventstream/sequence.go
+++ b/eventstream/sequence.go
@@ -63,8 +63,8 @@
 	s.quiet = s.number
 }
 
-// Again tells that another run serves from here, asked for what follows Last.
-func (s *Sequence) Again() {
+// SwitchRun tells that another run serves from here, asked for what follows Last.
+func (s *Sequence) SwitchRun() {
 	s.quiet, s.place, s.joined = s.number, follows, true
 }
 
@@ -81,25 +81,25 @@
 	return !s.nameless
 }
 
-// Take judges the next block of the run that serves. A block that passes counts as
+// Check judges the next block of the run that serves. A block that passes counts as
 // passed on.
-func (s *Sequence) Take(b Block) Verdict {
-	v := Verdict{Came: b.ID}
+func (s *Sequence) Check(b Block) Verdict {
+	v := Verdict{Received: b.ID}
 	if s.known {
-		v.Due = s.quiet + 1
+		v.Expected = s.quiet + 1
 	}
 	n, numbered := number(b.ID)
 	switch {
-	case b.Kind == Mark && s.begun:
-		v.Kind = Repeated
+	case b.Kind == BOM && s.begun:
+		v.Decision = Repeated
 	case b.Kind == Event && numbered:
-		v.Kind = s.event(n, b.ID)
+		v.Decision = s.event(n, b.ID)
 	case b.Kind == Event:
-		v.Kind = s.unnumbered(b.ID)
+		v.Decision = s.unnumbered(b.ID)
 	case numbered:
-		v.Kind = s.dataless(n)
+		v.Decision = s.dataless(n)
 	default:
-		v.Kind = Pass
+		v.Decision = Pass
 	}
 	s.begun = s.begun || v.Passes()
 	return v
--- a/eventstream/verdict.go
+++ b/eventstream/verdict.go
@@ -30,22 +30,22 @@
 
 // Verdict is a Sequence's answer on a block.
 type Verdict struct {
-	Kind Decision
-	// Due is the number that was due; 0 if any would do.
-	Due uint64
-	// Came is the ID that came, empty if none did. It is a part of the block.
-	Came []byte
+	Decision Decision
+	// Expected is the number that was due; 0 if any would do.
+	Expected uint64
+	// Received is the ID that came, empty if none did. It is a part of the block.
+	Received []byte
 }
 
 // Passes tells whether the caller gets the block.
 func (v Verdict) Passes() bool {
-	return v.Kind == Pass || v.Kind == Unnumbered
+	return v.Decision == Pass || v.Decision == Unnumbered
 }
 
 // String tells the verdict for logs.
 func (v Verdict) String() string {
-	if v.Due == 0 {
-		return fmt.Sprintf("%v: any number due, %q came", v.Kind, v.Came)
+	if v.Expected == 0 {
+		return fmt.Sprintf("%v: any number due, %q came", v.Decision, v.Received)
 	}
-	return fmt.Sprintf("%v: %d due, %q came", v.Kind, v.Due, v.Came)
+	return fmt.Sprintf("%v: %d due, %q came", v.Decision, v.Expected, v.Received)
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -27,7 +27,7 @@
 	q       *request
 	started bool
 	reader  eventstream.Reader
-	order   eventstream.Order
+	order   eventstream.Sequencer
 	// plain tells that the answer is no event stream, and is passed on as it comes.
 	plain bool
 	// untyped tells that the engine does not say what it is, and blocks that it has had
@@ -51,7 +51,7 @@
 }
 
 func newStreamWriter(g *Gateway, w http.ResponseWriter, q *request) *streamWriter {
-	s := &streamWriter{g: g, w: w, control: http.NewResponseController(w), q: q, order: &eventstream.Names{}}
+	s := &streamWriter{g: g, w: w, control: http.NewResponseController(w), q: q, order: &eventstream.OpaqueIDs{}}
 	if g.cfg.Protocol.EventsByOne {
 		s.order = &eventstream.Sequence{}
 	}
@@ -112,7 +112,7 @@
 // count takes the memory of events that are longer than those of most streams. Until there is
 // some, nothing more is read of the engine.
 func (s *streamWriter) count() error {
-	more := int64(s.reader.Size()+cap(s.out)) - streamMemory - s.counted
+	more := int64(s.reader.MemoryBytes()+cap(s.out)) - streamMemory - s.counted
 	if more <= 0 {
 		return nil
 	}
@@ -124,7 +124,7 @@
 func (s *streamWriter) begin(a *backend.Answer, from *dispatch.Server) {
 	s.from, s.noted = from, false
 	s.reader.Reset()
-	s.order.Again()
+	s.order.SwitchRun()
 	if s.started {
 		return
 	}
@@ -186,10 +186,10 @@
 
 // take has the bytes of a block written if it is the caller's due.
 func (s *streamWriter) take(block eventstream.Block, raw []byte) error {
-	verdict := s.order.Take(block)
+	verdict := s.order.Check(block)
 	if !verdict.Passes() {
 		s.note(verdict)
-		if verdict.Kind == eventstream.Missing {
+		if verdict.Decision == eventstream.Missing {
 			return fmt.Errorf("%w: %v", errMissing, verdict)
 		}
 		return nil
@@ -207,12 +207,12 @@
 // note counts an event that is out of order, and logs the first one of each engine's
 // stream.
 func (s *streamWriter) note(v eventstream.Verdict) {
-	metric.EventsOutOfOrder.WithLabelValues(s.q.service.Name, v.Kind.String()).Inc()
+	metric.EventsOutOfOrder.WithLabelValues(s.q.service.Name, v.Decision.String()).Inc()
 	if s.noted {
 		return
 	}
 	s.noted = true
-	event.EventOutOfOrder.Log(s.g.log, "id", s.q.id, "server", s.from.StableName(), "verdict", v.Kind.String(), "due", v.Due, "came", string(v.Came[:min(len(v.Came), maxLogged)]),
+	event.EventOutOfOrder.Log(s.g.log, "id", s.q.id, "server", s.from.StableName(), "verdict", v.Decision.String(), "due", v.Expected, "came", string(v.Received[:min(len(v.Received), maxLogged)]),
 		"last", s.order.Last(), "resumed", s.q.resumed, "events", s.events)
 }
 
@@ -238,7 +238,7 @@
 // crash leaves.
 func (s *streamWriter) end(a *backend.Answer) error {
 	s.awaitCaller() // for the end of the answer, which may come long after its last event
-	rest := append([]byte(nil), s.reader.Rest()...)
+	rest := append([]byte(nil), s.reader.Incomplete()...)
 	if len(rest) == 0 {
 		return nil
 	}
