--- a/app/listen.go
+++ b/app/listen.go
@@ -37,7 +37,7 @@
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		event.ListenFailed.Log(l.log, "address", addr, "error", err)
-		return "", fault.Wrap(err, fault.SettingsInvalid, fault.StepConfig, addr)
+		return "", fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, addr)
 	}
 	out := ln.Addr().String()
 	if l.tls != nil {
--- a/app/run.go
+++ b/app/run.go
@@ -62,7 +62,7 @@
 	limitMemory(p.file)
 	if p.file.Data != "" {
 		if err := os.MkdirAll(p.file.Data, 0o700); err != nil {
-			return fault.Wrap(err, fault.SettingsInvalid, fault.StepConfig, p.file.Data)
+			return fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, p.file.Data)
 		}
 	}
 	if err := p.startControl(control.Config{Token: token, TLS: clientTLS}); err != nil {
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -76,7 +76,7 @@
 		return Parsed{}, bad("model is missing")
 	}
 	if in.N != nil && *in.N != 1 {
-		return Parsed{}, fault.New(fault.Unsupported, fault.StepParse, "", "n must be 1")
+		return Parsed{}, fault.New(fault.UnsupportedParameter, fault.StepParse, "", "n must be 1")
 	}
 	if chat {
 		err = in.chat(&out.Request)
@@ -96,7 +96,7 @@
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(in); err != nil {
 		if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			return nil, fault.New(fault.Unsupported, fault.StepParse, "", "the parameter "+name+" is not carried")
+			return nil, fault.New(fault.UnsupportedParameter, fault.StepParse, "", "the parameter "+name+" is not carried")
 		}
 		return nil, bad("the body is not a request in JSON: %v", err)
 	}
--- a/cli/client.go
+++ b/cli/client.go
@@ -177,7 +177,7 @@
 	in := operator.Change{ID: c.ID, Base: base, Text: text, Who: who(), Note: c.Note, Dry: c.DryRun}
 	var out control.Outcome
 	if err := c.first(s.ctx, http.MethodPost, "/v1/settings", in, &out); err != nil {
-		if fault.Is(err, fault.ChangeUnknown) {
+		if fault.Is(err, fault.ChangeOutcomeUnknown) {
 			return fmt.Errorf("%w (resend with --id %s)", err, c.ID)
 		}
 		return err
--- a/config/config.go
+++ b/config/config.go
@@ -234,7 +234,7 @@
 func Load(path string) (*File, []byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, fault.Wrap(err, fault.SettingsInvalid, fault.StepConfig, path)
+		return nil, nil, fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, path)
 	}
 	f, err := Parse(path, data)
 	return f, data, err
--- a/config/secrets.go
+++ b/config/secrets.go
@@ -20,11 +20,11 @@
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return "", fault.Wrap(err, fault.SettingsInvalid, fault.StepConfig, path)
+		return "", fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, path)
 	}
 	token := strings.TrimSpace(string(data))
 	if len(token) < minToken {
-		return "", fault.New(fault.SettingsInvalid, fault.StepConfig, path, fmt.Sprintf("want a token of at least %d characters", minToken))
+		return "", fault.New(fault.InvalidConfig, fault.StepConfig, path, fmt.Sprintf("want a token of at least %d characters", minToken))
 	}
 	return token, nil
 }
@@ -36,7 +36,7 @@
 	}
 	cert, err := tls.LoadX509KeyPair(t.Cert, t.Key)
 	if err != nil {
-		return nil, nil, fault.Wrap(err, fault.SettingsInvalid, fault.StepConfig, t.Cert)
+		return nil, nil, fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, t.Cert)
 	}
 	pool, err := ReadCA(t.CA)
 	if err != nil {
@@ -51,11 +51,11 @@
 func ReadCA(path string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.SettingsInvalid, fault.StepConfig, path)
+		return nil, fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, path)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fault.New(fault.SettingsInvalid, fault.StepConfig, path, "no certificate in PEM")
+		return nil, fault.New(fault.InvalidConfig, fault.StepConfig, path, "no certificate in PEM")
 	}
 	return pool, nil
 }
--- a/control/change.go
+++ b/control/change.go
@@ -59,7 +59,7 @@
 	case <-c.ctx.Done():
 	}
 	c.forgetWaiter(p.ID, w)
-	return out, fault.New(fault.ChangeUnknown, fault.StepSettings, c.id, "not confirmed in time; send it again with the same change ID")
+	return out, fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.id, "not confirmed in time; send it again with the same change ID")
 }
 
 func (c *Control) forgetWaiter(id string, w chan fleet.Result) {
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -41,7 +41,7 @@
 		return "", nil, c.notLeader()
 	}
 	if err := ctx.Err(); err != nil { // who sent it may have sent the opposite elsewhere since
-		return "", nil, fault.Wrap(err, fault.ChangeUnknown, fault.StepSettings, "operator")
+		return "", nil, fault.Wrap(err, fault.ChangeOutcomeUnknown, fault.StepSettings, "operator")
 	}
 	return c.proposeOnce(now, "evacuation of "+zone, fleet.Change{
 		When: clock.Day().UnixNano(), Evacuation: &fleet.Evacuation{Zone: zone, Finished: finished},
--- a/control/table.go
+++ b/control/table.go
@@ -51,7 +51,7 @@
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 	}
-	return fault.New(fault.ChangeUnknown, fault.StepSettings, c.cfg.Name, "not confirmed in time; send it again")
+	return fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.cfg.Name, "not confirmed in time; send it again")
 }
 
 func (c *Control) proposeTable(t *route.Table) (string, chan fleet.Result, bool, error) {
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -162,7 +162,7 @@
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 	}
-	return u, fault.New(fault.ChangeUnknown, fault.StepSettings, c.id, "not confirmed in time; look at the status")
+	return u, fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.id, "not confirmed in time; look at the status")
 }
 
 // startRaise proposes the next version; the channel is nil if something holds it back.
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -243,7 +243,7 @@
 	case claim.Unreached:
 		return nil, fault.New(fault.ClaimUnreached, fault.StepClaim, ask.Group, "this attempt sent nothing; an earlier one with this key may have run")
 	}
-	return nil, fault.New(fault.ClaimSplit, fault.StepClaim, ask.Group, "no majority for the claim")
+	return nil, fault.New(fault.ClaimNotWon, fault.StepClaim, ask.Group, "no majority for the claim")
 }
 
 // runOnce sends a call whose claim is won. Only a send that surely did not
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -275,7 +275,7 @@
 func (e *Entry) refused(x router.Refuse) {
 	event.RequestRefused.Log(e.log, "request", x.Req, "code", x.Code.ID, "detail", x.Detail)
 	if f := e.flows[x.Req]; f != nil {
-		if x.Code == fault.TargetMissed || x.Code == fault.NoServer {
+		if x.Code == fault.TargetOutOfReach || x.Code == fault.NoServer {
 			e.short[f.req.Model] = clock.VM.Now()
 		}
 		e.end(f, refusal(x))
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -50,7 +50,7 @@
 	}
 	if c.late(now, r, choice.FirstToken) {
 		c.dequeue(q, r)
-		c.refuse(now, r, fault.TargetMissed,
+		c.refuse(now, r, fault.TargetOutOfReach,
 			fmt.Sprintf("first token in %s at the soonest", choice.FirstToken.Round(time.Millisecond)), c.comeBack(r))
 		return true
 	}
@@ -74,7 +74,7 @@
 		return false
 	}
 	c.dequeue(q, r)
-	c.refuse(now, r, fault.TargetMissed, "no server is free in time", c.comeBack(r))
+	c.refuse(now, r, fault.TargetOutOfReach, "no server is free in time", c.comeBack(r))
 	return true
 }
 
--- a/router/tick.go
+++ b/router/tick.go
@@ -136,7 +136,7 @@
 		c.fail(now, r, "no server was free for the retry in time")
 		return
 	}
-	c.refuse(now, r, fault.TargetMissed, "the queue can't serve all in time", c.comeBack(r))
+	c.refuse(now, r, fault.TargetOutOfReach, "the queue can't serve all in time", c.comeBack(r))
 }
 
 // State is one row of the state dump.
