--- a/control/cold.go
+++ b/control/cold.go
@@ -48,7 +48,7 @@
 	if !h.bounded {
 		return
 	}
-	var cold []warmup.Cold
+	var cold []warmup.ColdServer
 	shares := map[string]int{}
 	for _, s := range h.servers.List(now) {
 		if s.State != registry.Ready || h.isEvacuated(s.Zone) || !h.isCold(now, s) {
@@ -57,7 +57,7 @@
 		service, _ := h.coldService(s.Service)
 		if share := h.coldBounds.Share(service.ColdRate, len(h.replicas), h.index()); share > 0 {
 			shares[s.ID] = share
-			cold = append(cold, warmup.Cold{Server: s.ID, Gateways: h.workWith(s.ID)})
+			cold = append(cold, warmup.ColdServer{Server: s.ID, Gateways: h.workWith(s.ID)})
 		}
 	}
 	if len(cold) == 0 {
@@ -65,7 +65,7 @@
 	}
 	leases := map[string][]wire.ColdLease{}
 	for _, g := range h.broker.Lend(now, cold) {
-		leases[g.Gateway] = append(leases[g.Gateway], wire.ColdLease{Server: g.Server, Most: shares[g.Server], For: warmup.LeaseFor})
+		leases[g.Gateway] = append(leases[g.Gateway], wire.ColdLease{Server: g.Server, Most: shares[g.Server], For: warmup.LeaseTTL})
 	}
 	for l, g := range h.gateways {
 		if list := leases[g.id]; len(list) > 0 {
--- a/dispatch/cold.go
+++ b/dispatch/cold.go
@@ -52,7 +52,7 @@
 	if s := f.servers[id]; s != nil {
 		s.pause.Begin(now)
 		if f.IsCold(now, s) {
-			s.cold.lease.Sent(now)
+			s.cold.lease.CountSent(now)
 		}
 	}
 	f.Admit(now, id)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -134,7 +134,7 @@
 // Sharing returns the number of gateways that work with one server of a service
 // and role: all of them, unless each has a part of the servers.
 func (f *Fleet) Sharing(service, role string) int {
-	return subset.Sharing(f.sizes[group{service, role}], f.Others.Gateways)
+	return subset.GatewaysPerServer(f.sizes[group{service, role}], f.Others.Gateways)
 }
 
 // group is the servers of a service that do the same work.
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -24,7 +24,7 @@
 		return nil, errTooLarge
 	}
 	if r.ContentLength >= 0 {
-		if !memory.Try(r.ContentLength) {
+		if !memory.TryReserve(r.ContentLength) {
 			return nil, errNoMemory
 		}
 		body := make([]byte, r.ContentLength)
@@ -40,7 +40,7 @@
 	for {
 		if len(body) == cap(body) {
 			grown := max(int64(2*cap(body)), firstPart)
-			if !memory.Try(grown - int64(cap(body))) {
+			if !memory.TryReserve(grown - int64(cap(body))) {
 				return nil, errNoMemory
 			}
 			body = append(make([]byte, 0, grown), body...)
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -99,7 +99,7 @@
 func (c *contents) ended(b brokeOff, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.table.Ended(c.clock.Now(), b.content, server, b.at, b.ran) {
+	if c.table.RecordEnding(c.clock.Now(), b.content, server, b.at, b.ran) {
 		event.ContentBlocked.Log(c.log, "content", b.content.String())
 	}
 }
@@ -118,7 +118,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Len() > 0 {
-		c.table.Ran(q.content())
+		c.table.Excuse(q.content())
 	}
 }
 
@@ -129,7 +129,7 @@
 	if c.table.Len() == 0 {
 		return 0
 	}
-	return c.table.Blocked(c.clock.Now(), q.content())
+	return c.table.BlockedFor(c.clock.Now(), q.content())
 }
 
 // untold returns what a replica has not been told over a link: all, over a new one, since
@@ -159,7 +159,7 @@
 func (c *contents) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Count(c.clock.Now())
+	return c.table.BlockedCount(c.clock.Now())
 }
 
 // errBlocked ends a request that may not go to a further server.
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -251,7 +251,7 @@
 	}
 	w.WriteHeader(r.status)
 	size := r.body.size
-	q.memory.Writing()
+	q.memory.StartWriting()
 	if err := writeWhole(w, q.memory, &r.body); err != nil {
 		event.CallerSlow.Log(g.log, "id", q.id, "bytes", size, "error", err)
 		panic(http.ErrAbortHandler)
@@ -281,7 +281,7 @@
 func writePart(w http.ResponseWriter, control *http.ResponseController, memory *membudget.Account, part []byte) error {
 	for len(part) > 0 {
 		_ = control.SetWriteDeadline(clock.Deadline(callerTimeout))
-		if err := memory.Cut(); err != nil { // its deadline may have been the one before
+		if err := memory.Preempted(); err != nil { // its deadline may have been the one before
 			return err
 		}
 		n := min(len(part), answerPart)
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -86,7 +86,7 @@
 
 // takeMemory waits until there is memory. Its error says that it is no server's fault.
 func takeMemory(ctx context.Context, memory *membudget.Account, n int64) error {
-	if err := memory.Take(ctx, n); err != nil {
+	if err := memory.Reserve(ctx, n); err != nil {
 		return fmt.Errorf("%w: %w", errNoMemory, err)
 	}
 	return nil
@@ -120,12 +120,12 @@
 	n := int64(cap(h.parts[0]))
 	h.parts[0], h.parts = nil, h.parts[1:]
 	h.counted -= n
-	memory.Give(n)
+	memory.Release(n)
 }
 
 // drop gives all parts back.
 func (h *heldAnswer) drop(memory *membudget.Account) {
-	memory.Give(h.counted)
+	memory.Release(h.counted)
 	*h = heldAnswer{}
 }
 
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -138,7 +138,7 @@
 	}
 	g.name(table, q)
 	q.work = dispatch.Work{Service: q.service.Name, Regions: regions}
-	if q.route.Kind == route.Stream && !q.memory.Try(streamMemory) {
+	if q.route.Kind == route.Stream && !q.memory.TryReserve(streamMemory) {
 		return q, g.noMemory(q)
 	}
 	if q.service.Engine != nil {
--- a/membudget/budget.go
+++ b/membudget/budget.go
@@ -18,8 +18,8 @@
 var (
 	// ErrTooLarge tells that a request would hold more than one may.
 	ErrTooLarge = errors.New("membudget: the request needs more memory than one may have")
-	// ErrCut tells that a request was given up for one that waits.
-	ErrCut = errors.New("membudget: the request was given up for others that wait for memory")
+	// ErrPreempted tells that a request was given up for one that waits.
+	ErrPreempted = errors.New("membudget: the request was given up for others that wait for memory")
 )
 
 // Budget is the memory of a process. Safe for use by several goroutines.
@@ -74,8 +74,8 @@
 	return b.waits
 }
 
-// Try takes bytes if there is room at once.
-func (a *Account) Try(n int64) bool {
+// TryReserve takes bytes if there is room at once.
+func (a *Account) TryReserve(n int64) bool {
 	if a == nil {
 		return true
 	}
@@ -84,8 +84,8 @@
 	return !a.budget.ledger.tooMuch(&a.entry, n) && a.budget.ledger.take(&a.entry, n)
 }
 
-// Take takes bytes, and waits until there is room.
-func (a *Account) Take(ctx context.Context, n int64) error {
+// Reserve takes bytes, and waits until there is room.
+func (a *Account) Reserve(ctx context.Context, n int64) error {
 	if a == nil {
 		return nil
 	}
@@ -151,8 +151,8 @@
 	}
 }
 
-// Give gives bytes back.
-func (a *Account) Give(n int64) {
+// Release gives bytes back.
+func (a *Account) Release(n int64) {
 	if a == nil {
 		return
 	}
@@ -161,8 +161,8 @@
 	a.budget.tell(a.budget.ledger.give(&a.entry, n))
 }
 
-// Writing notes that the caller is given its answer from now on.
-func (a *Account) Writing() {
+// StartWriting notes that the caller is given its answer from now on.
+func (a *Account) StartWriting() {
 	if a == nil {
 		return
 	}
@@ -173,15 +173,15 @@
 	}
 }
 
-// Cut returns ErrCut once the request was given up.
-func (a *Account) Cut() error {
+// Preempted returns ErrCut once the request was given up.
+func (a *Account) Preempted() error {
 	if a == nil {
 		return nil
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
 	if a.cutOff {
-		return ErrCut
+		return ErrPreempted
 	}
 	return nil
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -129,7 +129,7 @@
 	s.own[priority] += int32(tokens)
 	s.ownCount[priority]++
 	s.mine++
-	s.health.Probe()
+	s.health.StartProbe()
 }
 
 // PrefillGone notes that the work has ended in whatever way.
@@ -142,7 +142,7 @@
 // PrefillDone learns from a prefill that went well. Took covers the time at
 // the engine without the wait, and computed the tokens not found in its cache.
 func (v *View) PrefillDone(s *Server, hashes []uint64, computed, cached int, took time.Duration) {
-	s.health.OK()
+	s.health.RecordSuccess()
 	if computed > 0 && took > 0 {
 		s.rate += learnWeight * (float64(computed)/took.Seconds() - s.rate)
 	}
@@ -167,7 +167,7 @@
 // SlotTaken notes that this entry holds a decode slot at a server.
 func (v *View) SlotTaken(s *Server) {
 	s.mine++
-	s.health.Probe()
+	s.health.StartProbe()
 }
 
 // SlotFreed notes that the slot is free again.
@@ -175,7 +175,7 @@
 
 // DecodeOK learns the time between tokens of a decode that went well.
 func (v *View) DecodeOK(s *Server, perToken time.Duration) {
-	s.health.OK()
+	s.health.RecordSuccess()
 	if perToken > 0 {
 		s.tokenTime += time.Duration(learnWeight * float64(perToken-s.tokenTime))
 	}
@@ -183,7 +183,7 @@
 
 // Failed takes a failure that the server is to blame for; it reports true if
 // the server is ejected by it.
-func (v *View) Failed(now time.Time, s *Server) bool { return s.health.Fail(now) }
+func (v *View) Failed(now time.Time, s *Server) bool { return s.health.RecordFailure(now) }
 
 // TransferStarted notes a transfer of this entry between two servers.
 func (v *View) TransferStarted(from, to *Server) {
--- a/poison/table.go
+++ b/poison/table.go
@@ -71,15 +71,15 @@
 // Changes is the number of the newest change.
 func (t *Table) Changes() uint64 { return t.changes }
 
-// Ended notes that a server ended at a time while it ran a content, which had been sent to
+// RecordEnding notes that a server ended at a time while it ran a content, which had been sent to
 // it for a while. It returns whether the content is blocked by that.
-func (t *Table) Ended(now time.Time, d Digest, server string, at time.Time, ran time.Duration) bool {
+func (t *Table) RecordEnding(now time.Time, d Digest, server string, at time.Time, ran time.Duration) bool {
 	return len(t.Merge(now, []Record{{Content: d, Endings: []Ending{{Server: server, Age: now.Sub(at), Ran: ran}}}})) > 0
 }
 
-// Ran notes that a content has run to its end at a server that is there, which excuses it
+// Excuse notes that a content has run to its end at a server that is there, which excuses it
 // from the endings known so far.
-func (t *Table) Ran(d Digest) {
+func (t *Table) Excuse(d Digest) {
 	e := t.contents[d]
 	if e == nil {
 		return
@@ -151,8 +151,8 @@
 	return a
 }
 
-// Blocked returns for how long a content is still refused; zero if it is not.
-func (t *Table) Blocked(now time.Time, d Digest) time.Duration {
+// BlockedFor returns for how long a content is still refused; zero if it is not.
+func (t *Table) BlockedFor(now time.Time, d Digest) time.Duration {
 	e := t.contents[d]
 	if e == nil {
 		return 0
@@ -160,8 +160,8 @@
 	return e.blockedFor(now)
 }
 
-// Count returns how many contents are refused now.
-func (t *Table) Count(now time.Time) int {
+// BlockedCount returns how many contents are refused now.
+func (t *Table) BlockedCount(now time.Time) int {
 	n := 0
 	for _, e := range t.contents {
 		if e.blockedFor(now) > 0 {
--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -8,18 +8,18 @@
 // "Exponential Backoff And Jitter", 2015). First is the least pause, so that no draw gives
 // a burst.
 type Backoff struct {
-	First, Most time.Duration
+	Min, Max time.Duration
 }
 
 // Pause returns how long to wait after some failures in a row, for a random number of
 // [0, 1).
 func (b Backoff) Pause(failures int, random float64) time.Duration {
-	most := b.First
+	most := b.Min
 	for range failures {
-		if most = 2 * most; most >= b.Most {
-			most = b.Most
+		if most = 2 * most; most >= b.Max {
+			most = b.Max
 			break
 		}
 	}
-	return b.First + time.Duration(random*float64(most-b.First))
+	return b.Min + time.Duration(random*float64(most-b.Min))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -29,8 +29,8 @@
 // SetPercent changes the share.
 func (b *Budget) SetPercent(percent int) { b.share = float64(percent) / 100 }
 
-// Start counts a request that starts.
-func (b *Budget) Start() { b.tokens = min(b.tokens+b.share, maxTokens) }
+// CountRequest counts a request that starts.
+func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, maxTokens) }
 
 // Take allows one retry, or not.
 func (b *Budget) Take() bool {
--- a/retry/health.go
+++ b/retry/health.go
@@ -29,18 +29,18 @@
 // Ejected tells whether the server is ejected.
 func (h *Health) Ejected() bool { return h.ejected }
 
-// Probe marks that a request goes to the server.
-func (h *Health) Probe() {
+// StartProbe marks that a request goes to the server.
+func (h *Health) StartProbe() {
 	if h.ejected {
 		h.probing = true
 	}
 }
 
-// OK takes a success.
-func (h *Health) OK() { *h = Health{} }
+// RecordSuccess takes a success.
+func (h *Health) RecordSuccess() { *h = Health{} }
 
-// Fail takes a failure; it reports true if the server is ejected by it.
-func (h *Health) Fail(now time.Time) bool {
+// RecordFailure takes a failure; it reports true if the server is ejected by it.
+func (h *Health) RecordFailure(now time.Time) bool {
 	h.failures++
 	if !h.ejected && h.failures < failuresToEject {
 		return false
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -21,7 +21,7 @@
 		c.refuse(now, r, code, why, time.Second)
 		return c.take()
 	}
-	c.budget.Start()
+	c.budget.CountRequest()
 	c.reqs[req.ID] = r
 	c.open[req.Customer]++
 	c.enqueue(now, r)
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -46,8 +46,8 @@
 	return float64(mix.Pair(uint64(gateway), uint64(server))) < bound
 }
 
-// Sharing returns how many gateways work with a server of a group, on average.
-func Sharing(size, gateways int) int {
+// GatewaysPerServer returns how many gateways work with a server of a group, on average.
+func GatewaysPerServer(size, gateways int) int {
 	if size <= 0 {
 		return gateways
 	}
--- a/warmup/broker.go
+++ b/warmup/broker.go
@@ -10,8 +10,8 @@
 
 // Times of leases.
 const (
-	// LeaseFor is how long a lease holds from its arrival on.
-	LeaseFor = time.Second
+	// LeaseTTL is how long a lease holds from its arrival on.
+	LeaseTTL = time.Second
 	// renewAfter is the age at which a lease is renewed.
 	renewAfter = 300 * time.Millisecond
 	// gap is the time between the end of a lease, as its lender counts it, and the next one
@@ -60,11 +60,11 @@
 
 // NewBroker returns a broker that starts now.
 func NewBroker(now time.Time) *Broker {
-	return &Broker{quietUntil: now.Add(LeaseFor + gap), leases: map[string]*lent{}}
+	return &Broker{quietUntil: now.Add(LeaseTTL + gap), leases: map[string]*lent{}}
 }
 
-// Cold is a cold server with the gateways that may have its lease.
-type Cold struct {
+// ColdServer is a cold server with the gateways that may have its lease.
+type ColdServer struct {
 	Server   string
 	Gateways []string
 }
@@ -74,10 +74,10 @@
 
 // Lend returns the leases that are to be told now: for each cold server one gateway of those
 // that may have it, the same one as long as it may.
-func (b *Broker) Lend(now time.Time, list []Cold) []Grant {
+func (b *Broker) Lend(now time.Time, list []ColdServer) []Grant {
 	held := map[string]int{}
 	for id, l := range b.leases {
-		if now.Sub(l.at) >= LeaseFor+gap {
+		if now.Sub(l.at) >= LeaseTTL+gap {
 			delete(b.leases, id)
 			continue
 		}
@@ -107,7 +107,7 @@
 
 // leastLent returns the gateway with the fewest leases, another one for each server if several
 // have as few.
-func leastLent(c Cold, held map[string]int) string {
+func leastLent(c ColdServer, held map[string]int) string {
 	server := mix.Name(c.Server)
 	return slices.MinFunc(c.Gateways, func(a, b string) int {
 		return cmp.Or(cmp.Compare(held[a], held[b]), cmp.Compare(mix.Pair(mix.Name(a), server), mix.Pair(mix.Name(b), server)))
--- a/warmup/lease.go
+++ b/warmup/lease.go
@@ -14,7 +14,7 @@
 
 // Renew takes a lease that has just come.
 func (l *Lease) Renew(now time.Time, most int, d time.Duration) {
-	l.most, l.until = most, now.Add(min(d, LeaseFor))
+	l.most, l.until = most, now.Add(min(d, LeaseTTL))
 }
 
 // Allows tells whether one more request may be sent now.
@@ -22,8 +22,8 @@
 	return now.Before(l.until) && l.recent(now) < l.most
 }
 
-// Sent counts a request.
-func (l *Lease) Sent(now time.Time) {
+// CountSent counts a request.
+func (l *Lease) CountSent(now time.Time) {
 	l.recent(now)
 	l.sent = append(l.sent, now)
 }
--- a/wire/dialer.go
+++ b/wire/dialer.go
@@ -16,7 +16,7 @@
 // apartPause spaces the tries at a peer whose versions are apart. It begins with the pace at
 // which links are opened again (dialEvery) and ends where a peer that has been replaced
 // is still met within the times that links take to be missed (idleTimeout).
-var apartPause = retry.Backoff{First: dialEvery, Most: idleTimeout}
+var apartPause = retry.Backoff{Min: dialEvery, Max: idleTimeout}
 
 // mostApart bounds the peers that are remembered: ten times those of the largest site.
 const mostApart = 4096
@@ -101,7 +101,7 @@
 		if len(d.apart) < mostApart {
 			break
 		}
-		if d.now().After(o.next.Add(apartPause.Most)) {
+		if d.now().After(o.next.Add(apartPause.Max)) {
 			delete(d.apart, other)
 		}
 	}
