--- a/cli/upgrade.go
+++ b/cli/upgrade.go
@@ -48,7 +48,7 @@
 	if err := printUpgrade(s.out, u, c.JSON); err != nil {
 		return err
 	}
-	if len(u.Holds) > 0 && u.Holds[0].Cause != compat.Known {
+	if len(u.Holds) > 0 && u.Holds[0].Cause != compat.CauseNewest {
 		return errors.New("the version was not raised")
 	}
 	return nil
@@ -69,7 +69,7 @@
 		fmt.Fprintf(&b, "  %-24s %-8s reads %-8s build %s%s\n", m.ID, memberKind(m), told(m.Versions), orUnknown(m.Build), mark(m.Silent, ", silent"))
 	}
 	for _, h := range append(u.Holds, u.Waits...) {
-		if h.Cause != compat.Known {
+		if h.Cause != compat.CauseNewest {
 			fmt.Fprintf(&b, "version %d waits: %s\n", u.Next, holdText(h))
 		}
 	}
@@ -115,19 +115,19 @@
 }
 
 // holdText tells a cause in words.
-func holdText(h compat.Hold) string {
+func holdText(h compat.Blocker) string {
 	switch h.Cause {
-	case compat.Proposed:
+	case compat.CauseProposed:
 		return "it was proposed and is not yet in force"
-	case compat.NeverTold:
+	case compat.CauseNeverReported:
 		return h.Member + " has told the leader nothing yet"
-	case compat.Unable:
+	case compat.CauseUnable:
 		return fmt.Sprintf("%s reads %s", h.Member, told(h.Told))
-	case compat.Silent:
+	case compat.CauseSilent:
 		return h.Member + " is out of touch"
-	case compat.Settling:
+	case compat.CauseSettling:
 		return fmt.Sprintf("it rises by itself in %s, or with ledgepin upgrade raise", h.Left.Round(time.Second))
-	case compat.Asked:
+	case compat.CauseOperatorOnly:
 		return "it rises with ledgepin upgrade raise"
 	}
 	return string(h.Cause)
--- a/compat/gate.go
+++ b/compat/gate.go
@@ -19,24 +19,24 @@
 
 // The causes. The last two hold back only the rise that comes by itself.
 const (
-	// Known tells that the leader's own build knows no higher version.
-	Known Cause = "newest"
-	// Proposed tells that the next version was proposed and is not yet in force.
-	Proposed Cause = "proposed"
-	// NeverTold tells that a member has told no range since this replica started.
-	NeverTold Cause = "never_told"
-	// Unable tells that a member's range does not hold the next version.
-	Unable Cause = "unable"
-	// Silent tells that a member is out of touch.
-	Silent Cause = "silent"
-	// Settling tells that all can read the next version, but not for long enough.
-	Settling Cause = "settling"
-	// Asked tells that the version rises only when an operator asks.
-	Asked Cause = "asked"
+	// CauseNewest tells that the leader's own build knows no higher version.
+	CauseNewest Cause = "newest"
+	// CauseProposed tells that the next version was proposed and is not yet in force.
+	CauseProposed Cause = "proposed"
+	// CauseNeverReported tells that a member has told no range since this replica started.
+	CauseNeverReported Cause = "never_told"
+	// CauseUnable tells that a member's range does not hold the next version.
+	CauseUnable Cause = "unable"
+	// CauseSilent tells that a member is out of touch.
+	CauseSilent Cause = "silent"
+	// CauseSettling tells that all can read the next version, but not for long enough.
+	CauseSettling Cause = "settling"
+	// CauseOperatorOnly tells that the version rises only when an operator asks.
+	CauseOperatorOnly Cause = "asked"
 )
 
-// Hold is one thing that holds the version back.
-type Hold struct {
+// Blocker is one thing that holds the version back.
+type Blocker struct {
 	Cause Cause `json:"cause"`
 	// Member is who does, if it is a member.
 	Member string `json:"member,omitempty"`
@@ -58,13 +58,13 @@
 	proposed int
 }
 
-// Since returns the moment from which on all members could read the next version; zero while
+// SupportedSince returns the moment from which on all members could read the next version; zero while
 // one can't.
-func (g *Gate) Since() time.Time { return g.since }
+func (g *Gate) SupportedSince() time.Time { return g.since }
 
-// Told takes that a member has told another range than before, which may be over before the
+// RangeChanged takes that a member has told another range than before, which may be over before the
 // next look: the settling time starts anew if it reads less.
-func (g *Gate) Told(before, after Range) {
+func (g *Gate) RangeChanged(before, after Range) {
 	if less(before, after) {
 		g.since = time.Time{}
 	}
@@ -73,18 +73,18 @@
 // less tells whether a range misses a part of the one before it.
 func less(before, after Range) bool { return after.Least > before.Least || after.Most < before.Most }
 
-// Propose takes that a version has been proposed.
-func (g *Gate) Propose(version int) { g.proposed = version }
+// RecordProposal takes that a version has been proposed.
+func (g *Gate) RecordProposal(version int) { g.proposed = version }
 
-// Look takes what the leader knows, and returns what keeps an operator from raising the
+// Check takes what the leader knows, and returns what keeps an operator from raising the
 // version by one; nothing if it may be proposed.
-func (g *Gate) Look(now time.Time, version int, own Range, members []Member) []Hold {
+func (g *Gate) Check(now time.Time, version int, own Range, members []Member) []Blocker {
 	next := version + 1
-	if !own.Holds(next) {
-		return []Hold{{Cause: Known}}
+	if !own.Contains(next) {
+		return []Blocker{{Cause: CauseNewest}}
 	}
 	if g.proposed >= next {
-		return []Hold{{Cause: Proposed}}
+		return []Blocker{{Cause: CauseProposed}}
 	}
 	holds, able := look(next, members)
 	switch {
@@ -103,18 +103,18 @@
 
 // look returns what holds the next version back, and whether all members have told that they
 // can read it. One that is silent could before, so it does not begin the settling time anew.
-func look(next int, members []Member) (holds []Hold, able bool) {
+func look(next int, members []Member) (holds []Blocker, able bool) {
 	able = true
 	for _, m := range members {
 		switch {
 		case m.Told == Range{}:
-			holds = append(holds, Hold{Cause: NeverTold, Member: m.ID})
+			holds = append(holds, Blocker{Cause: CauseNeverReported, Member: m.ID})
 			able = false
-		case !m.Told.Valid() || !m.Told.Holds(next):
-			holds = append(holds, Hold{Cause: Unable, Member: m.ID, Told: &m.Told})
+		case !m.Told.Valid() || !m.Told.Contains(next):
+			holds = append(holds, Blocker{Cause: CauseUnable, Member: m.ID, Told: &m.Told})
 			able = false
 		case m.Silent:
-			holds = append(holds, Hold{Cause: Silent, Member: m.ID, Told: &m.Told})
+			holds = append(holds, Blocker{Cause: CauseSilent, Member: m.ID, Told: &m.Told})
 		}
 	}
 	return holds, able
@@ -128,14 +128,14 @@
 	})
 }
 
-// Settle returns what keeps the version from rising by itself, though an operator could raise
+// CheckSettled returns what keeps the version from rising by itself, though an operator could raise
 // it: the settling time, or that there is none.
-func (g *Gate) Settle(now time.Time, after time.Duration) []Hold {
+func (g *Gate) CheckSettled(now time.Time, after time.Duration) []Blocker {
 	if after <= 0 {
-		return []Hold{{Cause: Asked}}
+		return []Blocker{{Cause: CauseOperatorOnly}}
 	}
 	if left := after - now.Sub(g.since); left > 0 {
-		return []Hold{{Cause: Settling, Left: left}}
+		return []Blocker{{Cause: CauseSettling, Left: left}}
 	}
 	return nil
 }
--- a/compat/range.go
+++ b/compat/range.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Highest is the highest version that a range may hold: two bytes, as in the versions of
+// MaxVersion is the highest version that a range may hold: two bytes, as in the versions of
 // TLS. A number above it is no version but an error, or somebody who tries what happens.
-const Highest = 65535
+const MaxVersion = 65535
 
 // Range is the versions that a build speaks, both ends included.
 type Range struct {
@@ -12,17 +12,17 @@
 	Most  int `json:"most"`
 }
 
-// Only is the range of a build that speaks one version.
-func Only(version int) Range { return Range{Least: version, Most: version} }
+// Single is the range of a build that speaks one version.
+func Single(version int) Range { return Range{Least: version, Most: version} }
 
 // Valid tells whether the range makes sense: it has both ends, is not reversed and holds
 // nothing but versions.
 func (r Range) Valid() bool {
-	return r.Least >= 1 && r.Most <= Highest && r.Least <= r.Most
+	return r.Least >= 1 && r.Most <= MaxVersion && r.Least <= r.Most
 }
 
-// Holds tells whether a version is in the range.
-func (r Range) Holds(version int) bool { return r.Least <= version && version <= r.Most }
+// Contains tells whether a version is in the range.
+func (r Range) Contains(version int) bool { return r.Least <= version && version <= r.Most }
 
 // String returns the range as people read it.
 func (r Range) String() string {
@@ -39,5 +39,5 @@
 		return 0, false
 	}
 	version := min(a.Most, b.Most)
-	return version, a.Holds(version) && b.Holds(version)
+	return version, a.Contains(version) && b.Contains(version)
 }
--- a/compat/version.go
+++ b/compat/version.go
@@ -7,14 +7,14 @@
 	Base = 3
 	// Evacuations is the version from which on evacuations of availability zones are kept.
 	Evacuations = 5
-	// Limits is the version of links that tell of the limits of servers. It keeps nothing more.
-	Limits = 6
-	// Leaving is the first version whose replicas take the report of a gateway that a server
+	// ServerLimits is the version of links that tell of the limits of servers. It keeps nothing more.
+	ServerLimits = 6
+	// LeaveReports is the first version whose replicas take the report of a gateway that a server
 	// leaves; nothing of that is kept.
-	Leaving = 7
+	LeaveReports = 7
 	// Newest is the highest version that this build reads and writes.
-	Newest = Leaving
-	// Needed is the highest version from which on anything more is kept. This build raises the
+	Newest = LeaveReports
+	// NewestStored is the highest version from which on anything more is kept. This build raises the
 	// fleet's version no further, so that the build before can be gone back to.
-	Needed = Evacuations
+	NewestStored = Evacuations
 )
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -59,8 +59,8 @@
 		return err
 	}
 	for _, m := range u.Members {
-		if m.Versions == nil || !m.Versions.Holds(version) {
-			return heldBack(version, m.ID, compat.Unable)
+		if m.Versions == nil || !m.Versions.Contains(version) {
+			return heldBack(version, m.ID, compat.CauseUnable)
 		}
 	}
 	for c.fleetVersion() < version {
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -25,9 +25,9 @@
 	// After is the time for which they must, zero if only an operator raises the version.
 	After time.Duration `json:"after"`
 	// Holds are what keeps it from rising, Waits what keeps it from rising by itself.
-	Holds   []compat.Hold   `json:"holds"`
-	Waits   []compat.Hold   `json:"waits,omitempty"`
-	Members []UpgradeMember `json:"members"`
+	Holds   []compat.Blocker `json:"holds"`
+	Waits   []compat.Blocker `json:"waits,omitempty"`
+	Members []UpgradeMember  `json:"members"`
 }
 
 // UpgradeMember is a voter or learner with the build that it runs.
@@ -70,14 +70,14 @@
 			members[i].Told = *m.Versions
 		}
 	}
-	out.Holds = append([]compat.Hold{}, c.gate.Look(now, out.Version, c.raises(), members)...)
-	if c.raises().Holds(out.Version + 1) {
+	out.Holds = append([]compat.Blocker{}, c.gate.Check(now, out.Version, c.raises(), members)...)
+	if c.raises().Contains(out.Version + 1) {
 		out.Next = out.Version + 1
 	}
-	if since := c.gate.Since(); out.Next != 0 && !since.IsZero() {
+	if since := c.gate.SupportedSince(); out.Next != 0 && !since.IsZero() {
 		day := clock.Day().Add(since.Sub(now)).UTC()
 		out.Since = &day
-		out.Waits = c.gate.Settle(now, c.settling())
+		out.Waits = c.gate.CheckSettled(now, c.settling())
 	}
 	return out
 }
@@ -136,7 +136,7 @@
 	if _, err := c.node.Propose(now, data); err != nil {
 		return id, c.notLeader()
 	}
-	c.gate.Propose(version)
+	c.gate.RecordProposal(version)
 	c.flush(now)
 	return id, nil
 }
--- a/control/versions.go
+++ b/control/versions.go
@@ -26,14 +26,14 @@
 // on anything more is kept.
 func (c *Control) raises() compat.Range {
 	out := c.versions()
-	out.Most = min(out.Most, compat.Needed)
+	out.Most = min(out.Most, compat.NewestStored)
 	return out
 }
 
 // addReplica takes that a link to a replica is open; false if that replica can't read what
 // this one holds. Callers hold the lock.
 func (c *Control) addReplica(l *wire.Link) bool {
-	if !l.Peer.Range().Holds(c.holds) {
+	if !l.Peer.Range().Contains(c.holds) {
 		if c.refused.Allow(c.clock.Now(), "version "+l.Peer.Name) {
 			event.ReplicaApart.Log(c.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Peer.Range().String(), "version", c.holds)
 		}
@@ -41,7 +41,7 @@
 	}
 	c.replicas[l] = true
 	if before, ok := c.lastTold[l.Peer.Name]; ok {
-		c.gate.Told(before.Range(), l.Peer.Range())
+		c.gate.RangeChanged(before.Range(), l.Peer.Range())
 	}
 	c.lastTold[l.Peer.Name] = l.Peer
 	return true
@@ -101,7 +101,7 @@
 // closeUnfit ends the links to replicas that don't read what this one holds.
 func (c *Control) closeUnfit() {
 	for l := range c.replicas {
-		if !l.Peer.Range().Holds(c.holds) {
+		if !l.Peer.Range().Contains(c.holds) {
 			l.Close()
 			c.dropPeer(l)
 		}
@@ -122,7 +122,7 @@
 func (c *Control) joinable() []string {
 	var out []string
 	for id := range c.seen {
-		if told, ok := c.told(id); ok && told.Range().Holds(c.holds) {
+		if told, ok := c.told(id); ok && told.Range().Contains(c.holds) {
 			out = append(out, id)
 		}
 	}
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -75,7 +75,7 @@
 // version if it tells none.
 func (h *Hello) Range() compat.Range {
 	if h.Least == 0 && h.Most == 0 {
-		return compat.Only(h.Version)
+		return compat.Single(h.Version)
 	}
 	return compat.Range{Least: h.Least, Most: h.Most}
 }
@@ -100,7 +100,7 @@
 	theirs := h.Range()
 	switch {
 	case !theirs.Valid():
-		return bad("the hello tells versions from %d to %d, want 1 to %d in order", theirs.Least, theirs.Most, compat.Highest)
+		return bad("the hello tells versions from %d to %d, want 1 to %d in order", theirs.Least, theirs.Most, compat.MaxVersion)
 	case h.Least == 0 && h.Version >= TellsRanges:
 		return bad("the hello tells version %d and no range", h.Version)
 	case !plain(h.Build):
