--- a/control/hub.go
+++ b/control/hub.go
@@ -201,7 +201,7 @@
 	if g := h.gateways[l]; g != nil {
 		h.reserve(g, nil, false)
 		h.queue(g, 0)
-		h.limits.broker.Leave(ratelimit.Asker{Name: g.id})
+		h.limits.broker.Forget(ratelimit.Requester{Name: g.id})
 		delete(h.named, g.id)
 	}
 	delete(h.gateways, l)
--- a/control/limits.go
+++ b/control/limits.go
@@ -52,19 +52,19 @@
 	if g == nil {
 		return
 	}
-	h.takeLimitMessage(ratelimit.Asker{Name: g.id}, m)
+	h.takeLimitMessage(ratelimit.Requester{Name: g.id}, m)
 }
 
 // takePeerLimits takes what another replica tells of limits.
 func (h *hub) takePeerLimits(l *wire.Link, m *wire.Limits) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.takeLimitMessage(ratelimit.Asker{Name: baseName(l.Peer.Name), Replica: true}, m)
+	h.takeLimitMessage(ratelimit.Requester{Name: baseName(l.Peer.Name), Replica: true}, m)
 }
 
 // takeLimitMessage takes what a gateway or another replica tells, and issues at once what is due
 // by that. Callers hold the lock.
-func (h *hub) takeLimitMessage(from ratelimit.Asker, m *wire.Limits) {
+func (h *hub) takeLimitMessage(from ratelimit.Requester, m *wire.Limits) {
 	now := h.clock.Now()
 	for _, w := range m.Observations {
 		h.noteLimit(now, w)
@@ -72,13 +72,13 @@
 	if len(m.Asks) > 0 {
 		demand := map[string]ratelimit.Demand{}
 		for _, a := range m.Asks {
-			demand[a.Service] = ratelimit.Demand{Rate: a.Rate, Waiting: a.Waiting, Priority: a.Priority, Got: a.Got}
+			demand[a.Service] = ratelimit.Demand{Rate: a.Rate, Waiting: a.Waiting, Priority: a.Priority, Received: a.Got}
 		}
-		h.limits.broker.Ask(now, from, demand)
+		h.limits.broker.SetDemand(now, from, demand)
 	}
 	for _, t := range m.Tokens {
 		if from.Replica {
-			h.limits.broker.Hand(now, t.Server, ratelimit.Token{Owner: from.Name, Spare: t.Spare}, t.Tokens, t.For)
+			h.limits.broker.AddTokens(now, t.Server, ratelimit.Token{Owner: from.Name, Spare: t.Spare}, t.Tokens, t.For)
 		}
 	}
 	for _, t := range m.Back {
@@ -86,7 +86,7 @@
 		if from.Replica {
 			owner = h.name
 		}
-		h.limits.broker.Back(now, from, ratelimit.Back{Owner: owner, Server: t.Server, Tokens: t.Tokens, For: t.For})
+		h.limits.broker.Release(now, from, ratelimit.Release{Owner: owner, Server: t.Server, Tokens: t.Tokens, TTL: t.For})
 	}
 	if len(m.Asks)+len(m.Tokens)+len(m.Back) > 0 {
 		h.issueLimits(now)
@@ -104,8 +104,8 @@
 		k = &knownLimit{listedAt: now}
 		h.limits.known[w.Server] = k
 	}
-	observed := ratelimit.Observation{Named: w.Named, Rate: w.Rate, Sent: now.Add(-w.Sent), Heard: now.Add(-w.Heard)}
-	if !k.Take(now, observed) {
+	observed := ratelimit.Observation{Limited: w.Named, Rate: w.Rate, Sent: now.Add(-w.Sent), Received: now.Add(-w.Heard)}
+	if !k.Observe(now, observed) {
 		return
 	}
 	h.setLimit(now, w.Server, k)
@@ -127,13 +127,13 @@
 		}
 	}
 	for _, k := range passed {
-		k.passedAt, k.passed = now, k.Newest().Heard
+		k.passedAt, k.passed = now, k.Newest().Received
 	}
 }
 
 func limitObservation(now time.Time, server string, k *knownLimit) wire.LimitObservation {
 	w := k.Newest()
-	return wire.LimitObservation{Server: server, Named: w.Named, Rate: w.Rate, Sent: now.Sub(w.Sent), Heard: now.Sub(w.Heard)}
+	return wire.LimitObservation{Server: server, Named: w.Limited, Rate: w.Rate, Sent: now.Sub(w.Sent), Heard: now.Sub(w.Received)}
 }
 
 // limitObservations returns all limits that are known. Callers hold the lock.
@@ -153,7 +153,7 @@
 		k.listedAt = now
 	}
 	if !limited || !listed || s.State == registry.Gone {
-		h.limits.broker.Drop(id)
+		h.limits.broker.RemoveLimit(id)
 		return
 	}
 	h.limits.broker.SetLimit(now, id, s.Service, rate)
@@ -183,7 +183,7 @@
 	}
 	h.reviewLimits(now)
 	h.welcomeLimits(now)
-	for name, demand := range h.limits.broker.Asks(now) {
+	for name, demand := range h.limits.broker.PeerDemand(now) {
 		if l := h.peerNamed(name); l != nil {
 			_ = l.Send(&wire.Message{Limits: &wire.Limits{Asks: limitAsks(demand)}})
 		}
@@ -201,15 +201,15 @@
 	for id, k := range h.limits.known {
 		h.setLimit(now, id, k)
 		w := k.Newest()
-		if !w.Named && now.Sub(w.Heard) >= limitKept || now.Sub(k.listedAt) >= limitKept {
+		if !w.Limited && now.Sub(w.Received) >= limitKept || now.Sub(k.listedAt) >= limitKept {
 			delete(h.limits.known, id)
-			h.limits.broker.Drop(id)
+			h.limits.broker.RemoveLimit(id)
 			continue
 		}
-		if w.Named {
+		if w.Limited {
 			named++
 		}
-		if w.Named && w.Heard.After(k.passed) && now.Sub(k.passedAt) >= limitAgain {
+		if w.Limited && w.Received.After(k.passed) && now.Sub(k.passedAt) >= limitAgain {
 			again, passed = append(again, limitObservation(now, id, k)), append(passed, k)
 		}
 	}
@@ -233,21 +233,21 @@
 // issueLimits sends the tokens that are due. Callers hold the lock.
 func (h *hub) issueLimits(now time.Time) {
 	grants, back := h.limits.broker.Issue(now, h.worksWith)
-	out := map[ratelimit.Asker]*wire.Limits{}
-	to := func(a ratelimit.Asker) *wire.Limits {
+	out := map[ratelimit.Requester]*wire.Limits{}
+	to := func(a ratelimit.Requester) *wire.Limits {
 		if out[a] == nil {
 			out[a] = &wire.Limits{}
 		}
 		return out[a]
 	}
 	for _, g := range grants {
-		t := wire.LimitToken{Server: g.Server, Tokens: g.Tokens, For: g.For, Owner: g.Owner, Spare: g.Spare}
+		t := wire.LimitToken{Server: g.Server, Tokens: g.Tokens, For: g.TTL, Owner: g.Owner, Spare: g.Spare}
 		m := to(g.To)
 		m.Tokens = append(m.Tokens, t)
 	}
 	for _, b := range back {
-		m := to(ratelimit.Asker{Name: b.Owner, Replica: true})
-		m.Back = append(m.Back, wire.LimitToken{Server: b.Server, Tokens: b.Tokens, For: b.For})
+		m := to(ratelimit.Requester{Name: b.Owner, Replica: true})
+		m.Back = append(m.Back, wire.LimitToken{Server: b.Server, Tokens: b.Tokens, For: b.TTL})
 	}
 	for a, m := range out {
 		if l := h.askerLink(a); l != nil {
@@ -258,7 +258,7 @@
 
 // askerLink returns the link on which somebody who wants tokens is told; nil if it has ended.
 // Callers hold the lock.
-func (h *hub) askerLink(a ratelimit.Asker) *wire.Link {
+func (h *hub) askerLink(a ratelimit.Requester) *wire.Link {
 	if a.Replica {
 		return h.peerNamed(a.Name)
 	}
@@ -303,7 +303,7 @@
 func limitAsks(demand map[string]ratelimit.Demand) []wire.LimitAsk {
 	var out []wire.LimitAsk
 	for service, d := range demand {
-		out = append(out, wire.LimitAsk{Service: service, Rate: d.Rate, Waiting: d.Waiting, Priority: d.Priority, Got: d.Got})
+		out = append(out, wire.LimitAsk{Service: service, Rate: d.Rate, Waiting: d.Waiting, Priority: d.Priority, Got: d.Received})
 	}
 	return out
 }
--- a/control/loads.go
+++ b/control/loads.go
@@ -72,7 +72,7 @@
 			h.ledger.Join(g.link)
 		} else {
 			h.ledger.Leave(g.link)
-			h.limits.broker.Leave(ratelimit.Asker{Name: g.id})
+			h.limits.broker.Forget(ratelimit.Requester{Name: g.id})
 			g.limitsTold = false
 		}
 	}
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -55,7 +55,7 @@
 		return LimitChange{}, false
 	}
 	change, changed := s.takeLimit(now, w)
-	if w.Named && (changed || now.Sub(l.toldAt) >= limitAgain) {
+	if w.Limited && (changed || now.Sub(l.toldAt) >= limitAgain) {
 		l.untold = &w
 	}
 	return change, changed
@@ -82,12 +82,12 @@
 func (f *Fleet) learnLimit(now time.Time, s *Server) {
 	if w, ok := f.earlyLimits[s.ID]; ok {
 		delete(f.earlyLimits, s.ID)
-		s.limit.Take(now, w)
+		s.limit.Observe(now, w)
 	}
 }
 
 func (s *Server) takeLimit(now time.Time, w ratelimit.Observation) (LimitChange, bool) {
-	if !s.limit.Take(now, w) {
+	if !s.limit.Observe(now, w) {
 		return LimitChange{}, false
 	}
 	out := LimitChange{Server: *s, Observation: s.limit.Newest(), Sent: s.limit.sent}
@@ -105,7 +105,7 @@
 func (f *Fleet) UntoldLimits(now time.Time) []ServerObservation {
 	var out []ServerObservation
 	for id, s := range f.servers {
-		if w := s.limit.Newest(); w.Named && s.limit.untold == nil && now.Sub(s.limit.toldAt) >= limitRetell {
+		if w := s.limit.Newest(); w.Limited && s.limit.untold == nil && now.Sub(s.limit.toldAt) >= limitRetell {
 			s.limit.untold = &w
 		}
 		if w := s.limit.untold; w != nil {
@@ -119,7 +119,7 @@
 // RetellLimits has control told of all limits again, as another replica that does not know them.
 func (f *Fleet) RetellLimits() {
 	for _, s := range f.servers {
-		if w := s.limit.Newest(); w.Named {
+		if w := s.limit.Newest(); w.Limited {
 			s.limit.untold = &w
 		}
 	}
@@ -153,7 +153,7 @@
 // Owe counts a request that went to a server in any case: the next token for it pays.
 func (f *Fleet) Owe(now time.Time, id string) {
 	if s := f.servers[id]; s != nil && f.IsLimited(now, s) {
-		s.limit.allowance.Owe(now)
+		s.limit.allowance.ForceTake(now)
 		s.limit.sent++
 	}
 }
@@ -169,12 +169,12 @@
 }
 
 // Surplus takes back the tokens of a server for which no request is expected.
-func (f *Fleet) Surplus(now time.Time, id string) []ratelimit.Back {
+func (f *Fleet) Surplus(now time.Time, id string) []ratelimit.Release {
 	s := f.servers[id]
 	if s == nil {
 		return nil
 	}
-	out := s.limit.allowance.Surplus(now, f.meter(s.Service).Rate(now))
+	out := s.limit.allowance.ReleaseSurplus(now, f.meter(s.Service).Rate(now))
 	for i := range out {
 		out[i].Server = id
 	}
@@ -189,7 +189,7 @@
 		if !limited || !f.Alone {
 			rate = 0
 		}
-		s.limit.allowance.SetAlone(now, rate/float64(max(f.Others.Gateways, 1)))
+		s.limit.allowance.SetFallbackRate(now, rate/float64(max(f.Others.Gateways, 1)))
 	}
 }
 
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -207,7 +207,7 @@
 func (f *Fleet) Sweep(now time.Time) {
 	f.groups = nil
 	for id, w := range f.earlyLimits {
-		if now.Sub(w.Heard) > forgetAfter {
+		if now.Sub(w.Received) > forgetAfter {
 			delete(f.earlyLimits, id)
 		}
 	}
--- a/dispatch/selfreport.go
+++ b/dispatch/selfreport.go
@@ -28,9 +28,9 @@
 	}
 	var out []Change
 	if !r.Unreadable(selfreport.Limit) {
-		o := ratelimit.Observation{Sent: r.Sent, Heard: r.Heard}
+		o := ratelimit.Observation{Sent: r.Sent, Received: r.Heard}
 		if r.Limit != nil {
-			o.Named, o.Rate = true, *r.Limit
+			o.Limited, o.Rate = true, *r.Limit
 		}
 		if change, ok := f.NoteLimit(now, id, o); ok {
 			out = append(out, Change{Server: *s, Field: selfreport.Limit, Limit: change})
--- a/gateway/limited.go
+++ b/gateway/limited.go
@@ -41,7 +41,7 @@
 )
 
 func (g *Gateway) logLimit(c dispatch.LimitChange, by string) {
-	event.ServerLimit.Log(g.log, "server", c.Server.StableName(), "service", c.Server.Service, "rate", c.Observation.Rate, "ended", !c.Observation.Named, "by", by, "sent", c.Sent)
+	event.ServerLimit.Log(g.log, "server", c.Server.StableName(), "service", c.Server.Service, "rate", c.Observation.Rate, "ended", !c.Observation.Limited, "by", by, "sent", c.Sent)
 }
 
 // server returns a server as it is known.
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -33,7 +33,7 @@
 	now := f.clock.Now()
 	var changes []dispatch.LimitChange
 	for _, w := range m.Observations {
-		observed := ratelimit.Observation{Named: w.Named, Rate: w.Rate, Sent: now.Add(-w.Sent), Heard: now.Add(-w.Heard)}
+		observed := ratelimit.Observation{Limited: w.Named, Rate: w.Rate, Sent: now.Add(-w.Sent), Received: now.Add(-w.Heard)}
 		if change, ok := f.view.TellLimit(now, w.Server, observed); ok {
 			changes = append(changes, change)
 		}
@@ -89,7 +89,7 @@
 	var out []wire.LimitToken
 	for _, t := range tokens {
 		for _, b := range f.view.Surplus(now, t.Server) {
-			out = append(out, wire.LimitToken{Server: b.Server, Tokens: b.Tokens, For: b.For, Owner: b.Owner})
+			out = append(out, wire.LimitToken{Server: b.Server, Tokens: b.Tokens, For: b.TTL, Owner: b.Owner})
 		}
 	}
 	return out
@@ -126,7 +126,7 @@
 	out := &wire.Limits{}
 	for _, w := range f.view.UntoldLimits(now) {
 		out.Observations = append(out.Observations, wire.LimitObservation{
-			Server: w.Server, Named: w.Observation.Named, Rate: w.Observation.Rate, Sent: now.Sub(w.Observation.Sent), Heard: now.Sub(w.Observation.Heard),
+			Server: w.Server, Named: w.Observation.Limited, Rate: w.Observation.Rate, Sent: now.Sub(w.Observation.Sent), Heard: now.Sub(w.Observation.Received),
 		})
 	}
 	asks := f.limitAsks(now)
--- a/ratelimit/broker.go
+++ b/ratelimit/broker.go
@@ -13,7 +13,7 @@
 	// quiet is how long a broker issues nothing after its start: the tokens that another
 	// process of its replica has issued just before must have ended, and those that were held
 	// up on their way.
-	quiet = TokenFor + 400*time.Millisecond
+	quiet = TokenTTL + 400*time.Millisecond
 	// takeover is how long a replica must have been without a link before the others own its
 	// parts. Long before, it has noticed that it is cut off and issues nothing.
 	takeover = 3 * time.Second
@@ -27,12 +27,12 @@
 
 // Grant is tokens for requests to a server.
 type Grant struct {
-	To     Asker
+	To     Requester
 	Server string
 	Token
 	Tokens int
-	// For is how long they hold.
-	For time.Duration
+	// TTL is how long they hold.
+	TTL time.Duration
 }
 
 // Broker issues the tokens of one replica of control. Each limit is owned by some replicas in
@@ -47,7 +47,7 @@
 	present []string
 	cut     bool
 	limits  map[string]*account
-	askers  map[Asker]*asker
+	askers  map[Requester]*asker
 	// got counts the tokens that each other replica has issued to this one, by service, and
 	// asked how often they were asked.
 	got   map[string]map[string]int
@@ -67,7 +67,7 @@
 
 // NewBroker returns the broker of a replica that starts now.
 func NewBroker(now time.Time, self string) *Broker {
-	return &Broker{self: self, quietUntil: now.Add(quiet), seen: map[string]time.Time{}, limits: map[string]*account{}, askers: map[Asker]*asker{}, got: map[string]map[string]int{}}
+	return &Broker{self: self, quietUntil: now.Add(quiet), seen: map[string]time.Time{}, limits: map[string]*account{}, askers: map[Requester]*asker{}, got: map[string]map[string]int{}}
 }
 
 // SetReplicas takes which replicas the group has and which of them are linked with this one, and
@@ -102,11 +102,11 @@
 	a.service, a.rate = service, rate
 }
 
-// Drop takes that a server has no limit any more.
-func (b *Broker) Drop(server string) { delete(b.limits, server) }
+// RemoveLimit takes that a server has no limit any more.
+func (b *Broker) RemoveLimit(server string) { delete(b.limits, server) }
 
-// Hand takes tokens that another replica has issued to this one, for its gateways.
-func (b *Broker) Hand(now time.Time, server string, t Token, tokens int, d time.Duration) {
+// AddTokens takes tokens that another replica has issued to this one, for its gateways.
+func (b *Broker) AddTokens(now time.Time, server string, t Token, tokens int, d time.Duration) {
 	a := b.limits[server]
 	if a == nil {
 		return
@@ -116,12 +116,12 @@
 	}
 	b.got[t.Owner][a.service] += tokens
 	a.handed.live(now)
-	a.handed.add(batch{t, tokens, now.Add(min(d, TokenFor))})
+	a.handed.add(batch{t, tokens, now.Add(min(d, TokenTTL))})
 }
 
-// Back takes tokens that an asker gives back. Those of another replica go to it, unless
+// Release takes tokens that an asker gives back. Those of another replica go to it, unless
 // somebody here has use for them.
-func (b *Broker) Back(now time.Time, from Asker, t Back) {
+func (b *Broker) Release(now time.Time, from Requester, t Release) {
 	l := b.limits[t.Server]
 	if l == nil || t.Tokens <= 0 {
 		return
@@ -139,7 +139,7 @@
 		l.level = min(l.level+float64(tokens), l.most)
 		return
 	}
-	l.handed.add(batch{Token{Owner: t.Owner}, tokens, now.Add(min(t.For, TokenFor))})
+	l.handed.add(batch{Token{Owner: t.Owner}, tokens, now.Add(min(t.TTL, TokenTTL))})
 }
 
 // part returns the requests a second of a limit that a replica owns.
@@ -174,9 +174,9 @@
 
 // Issue returns the tokens that are to be told now, and those that other replicas get back. May
 // tells whether a gateway of this replica works with a server.
-func (b *Broker) Issue(now time.Time, may func(gateway, server string) bool) ([]Grant, []Back) {
+func (b *Broker) Issue(now time.Time, may func(gateway, server string) bool) ([]Grant, []Release) {
 	var out []Grant
-	var back []Back
+	var back []Release
 	for _, server := range slices.Sorted(maps.Keys(b.limits)) {
 		l := b.limits[server]
 		b.settle(now, server, l)
@@ -187,7 +187,7 @@
 			if to, ok := b.choose(now, c); ok {
 				out = b.issue(out, to, l.service, server, t, now)
 			} else if !t.Spare {
-				back = append(back, Back{Owner: t.Owner, Server: server, Tokens: 1, For: t.until.Sub(now)})
+				back = append(back, Release{Owner: t.Owner, Server: server, Tokens: 1, TTL: t.until.Sub(now)})
 			}
 		}
 		c.replicas = true
@@ -202,14 +202,14 @@
 				break
 			}
 			l.level--
-			out = b.issue(out, to, l.service, server, batch{Token{b.self, c.spare}, 1, now.Add(TokenFor)}, now)
+			out = b.issue(out, to, l.service, server, batch{Token{b.self, c.spare}, 1, now.Add(TokenTTL)}, now)
 		}
 	}
 	return out, back
 }
 
 // issue notes a token and adds it to what is to be told.
-func (b *Broker) issue(out []Grant, to Asker, service, server string, t batch, now time.Time) []Grant {
+func (b *Broker) issue(out []Grant, to Requester, service, server string, t batch, now time.Time) []Grant {
 	a := b.askers[to]
 	if a.out[service] == nil {
 		a.out[service] = &batches{}
@@ -217,7 +217,7 @@
 	a.out[service].add(t)
 	a.issued[service]++
 	a.issuedAt = now
-	next := Grant{To: to, Server: server, Token: t.Token, Tokens: 1, For: t.until.Sub(now)}
+	next := Grant{To: to, Server: server, Token: t.Token, Tokens: 1, TTL: t.until.Sub(now)}
 	if n := len(out); n > 0 {
 		last := out[n-1]
 		if last.Tokens = 1; last == next {
--- a/ratelimit/choose.go
+++ b/ratelimit/choose.go
@@ -21,7 +21,7 @@
 
 // candidate is an asker that could use one more token.
 type candidate struct {
-	to     Asker
+	to     Requester
 	a      *asker
 	waits  bool
 	rank   int
@@ -31,7 +31,7 @@
 // choose returns who gets the next token of a limit: who has requests that wait, the most urgent
 // first, and of these and of the others each in proportion to its requests. False if nobody could
 // use it.
-func (b *Broker) choose(now time.Time, how choice) (Asker, bool) {
+func (b *Broker) choose(now time.Time, how choice) (Requester, bool) {
 	var list []candidate
 	for to, a := range b.askers {
 		d, ok := a.demand[how.service]
@@ -44,7 +44,7 @@
 		}
 		useful := expected(d.Rate)
 		if how.spare {
-			useful = int(math.Ceil(d.Rate * TokenFor.Seconds()))
+			useful = int(math.Ceil(d.Rate * TokenTTL.Seconds()))
 		}
 		c := candidate{to: to, a: a, waits: a.lacks(how.service) > 0, weight: d.Rate + float64(d.Waiting)}
 		if !c.waits && out >= useful {
@@ -56,7 +56,7 @@
 		list = append(list, c)
 	}
 	if len(list) == 0 {
-		return Asker{}, false
+		return Requester{}, false
 	}
 	best := slices.MinFunc(list, func(x, y candidate) int {
 		if x.waits != y.waits {
--- a/ratelimit/demand.go
+++ b/ratelimit/demand.go
@@ -16,9 +16,9 @@
 	// one; the lowest is first.
 	Waiting  int
 	Priority int
-	// Got counts the tokens that came from the replica that is asked, since it is: those that
+	// Received counts the tokens that came from the replica that is asked, since it is: those that
 	// are on their way must not be issued once more.
-	Got int
+	Received int
 }
 
 // Add returns the demand of two together.
@@ -30,9 +30,9 @@
 	return out
 }
 
-// Asker is who tokens are issued to: a gateway that shares with this replica, or another
+// Requester is who tokens are issued to: a gateway that shares with this replica, or another
 // replica, which hands them to its gateways.
-type Asker struct {
+type Requester struct {
 	Name    string
 	Replica bool
 }
@@ -49,8 +49,8 @@
 	credit   map[string]float64
 }
 
-// Ask takes what an asker wants of all services.
-func (b *Broker) Ask(now time.Time, from Asker, demand map[string]Demand) {
+// SetDemand takes what an asker wants of all services.
+func (b *Broker) SetDemand(now time.Time, from Requester, demand map[string]Demand) {
 	a := b.askers[from]
 	if a == nil {
 		a = &asker{out: map[string]*batches{}, issued: map[string]int{}, credit: map[string]float64{}}
@@ -59,8 +59,8 @@
 	a.demand, a.at = demand, now
 	for service, d := range demand {
 		// Those that have not come by now are lost, and what came before a restart is not known.
-		if d.Got > a.issued[service] || now.Sub(a.issuedAt) >= TokenFor {
-			a.issued[service] = d.Got
+		if d.Received > a.issued[service] || now.Sub(a.issuedAt) >= TokenTTL {
+			a.issued[service] = d.Received
 		}
 	}
 }
@@ -68,11 +68,11 @@
 // lacks returns the requests of an asker that wait and for which no token is on its way.
 func (a *asker) lacks(service string) int {
 	d := a.demand[service]
-	return d.Waiting - max(a.issued[service]-d.Got, 0)
+	return d.Waiting - max(a.issued[service]-d.Received, 0)
 }
 
-// Leave forgets an asker.
-func (b *Broker) Leave(from Asker) { delete(b.askers, from) }
+// Forget forgets an asker.
+func (b *Broker) Forget(from Requester) { delete(b.askers, from) }
 
 // Demand returns what the gateways of this replica want together, by service with a limit; of
 // the requests that wait those for which there is no token yet.
@@ -97,10 +97,10 @@
 	return out
 }
 
-// Asks returns what the other replicas have to be asked for that own parts of limits, by replica.
+// PeerDemand returns what the other replicas have to be asked for that own parts of limits, by replica.
 // Each request that waits is told to one of them, another one each time, so that it does not get
 // a token from several.
-func (b *Broker) Asks(now time.Time) map[string]map[string]Demand {
+func (b *Broker) PeerDemand(now time.Time) map[string]map[string]Demand {
 	out := map[string]map[string]Demand{}
 	demand := b.Demand(now)
 	b.asked++
@@ -114,7 +114,7 @@
 				continue
 			}
 			one := d
-			one.Waiting, one.Got = (d.Waiting+(i+b.asked)%len(owners))/len(owners), b.got[o][service]
+			one.Waiting, one.Received = (d.Waiting+(i+b.asked)%len(owners))/len(owners), b.got[o][service]
 			if out[o] == nil {
 				out[o] = map[string]Demand{}
 			}
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -7,21 +7,21 @@
 
 // Observation is what one answer of a server says of its limit.
 type Observation struct {
-	// Named tells that the answer names a limit, which is Rate requests a second from all
+	// Limited tells that the answer names a limit, which is Rate requests a second from all
 	// gateways together.
-	Named bool
-	Rate  float64
-	// Sent is when the request went out, Heard when its answer came: the server said it in
+	Limited bool
+	Rate    float64
+	// Sent is when the request went out, Received when its answer came: the server said it in
 	// between.
-	Sent, Heard time.Time
+	Sent, Received time.Time
 }
 
 // tighter tells whether an observation allows less than another one.
-func (w Observation) tighter(o Observation) bool { return w.Named && (!o.Named || w.Rate < o.Rate) }
+func (w Observation) tighter(o Observation) bool { return w.Limited && (!o.Limited || w.Rate < o.Rate) }
 
 // Same tells whether two observations allow as much.
 func (w Observation) Same(o Observation) bool {
-	return w.Named == o.Named && (!w.Named || w.Rate == o.Rate)
+	return w.Limited == o.Limited && (!w.Limited || w.Rate == o.Rate)
 }
 
 // Times of a limit.
@@ -49,23 +49,23 @@
 	endedAt time.Time
 }
 
-// Take takes an observation at a time. Answers on separate connections overtake each other, so an observation
+// Observe takes an observation at a time. Answers on separate connections overtake each other, so an observation
 // that allows more counts only if its request was sent after the limit was heard, and one that
 // allows less unless it was heard before the request of the newest observation was sent. It returns
 // whether what is allowed has changed.
-func (l *Limit) Take(now time.Time, w Observation) bool {
+func (l *Limit) Observe(now time.Time, w Observation) bool {
 	if w.Same(l.observed) {
-		l.observed.Sent, l.observed.Heard = latest(l.observed.Sent, w.Sent), latest(l.observed.Heard, w.Heard)
+		l.observed.Sent, l.observed.Received = latest(l.observed.Sent, w.Sent), latest(l.observed.Received, w.Received)
 		return false
 	}
 	if w.tighter(l.observed) {
-		if !l.observed.Sent.IsZero() && !w.Heard.After(l.observed.Sent) {
+		if !l.observed.Sent.IsZero() && !w.Received.After(l.observed.Sent) {
 			return false
 		}
 	} else if !l.Loosens(w) {
 		return false
 	}
-	if !w.Named {
+	if !w.Limited {
 		l.before, l.endedAt = l.rate(), now
 	}
 	l.observed = w
@@ -74,7 +74,7 @@
 
 // Loosens tells whether an observation would allow more than what is known, and is newer.
 func (l *Limit) Loosens(w Observation) bool {
-	return !w.Same(l.observed) && !w.tighter(l.observed) && w.Sent.After(l.observed.Heard.Add(settle))
+	return !w.Same(l.observed) && !w.tighter(l.observed) && w.Sent.After(l.observed.Received.Add(settle))
 }
 
 func latest(a, b time.Time) time.Time {
@@ -93,7 +93,7 @@
 // Rate returns how many requests a second all gateways together may send; false if there is no
 // limit. After its end the rate rises for a while.
 func (l *Limit) Rate(now time.Time) (float64, bool) {
-	if l.observed.Named {
+	if l.observed.Limited {
 		return l.rate(), true
 	}
 	since := now.Sub(l.endedAt)
--- a/ratelimit/tokens.go
+++ b/ratelimit/tokens.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TokenFor is how long a token holds from its issue on: one that comes late holds for less.
-const TokenFor = 600 * time.Millisecond
+// TokenTTL is how long a token holds from its issue on: one that comes late holds for less.
+const TokenTTL = 600 * time.Millisecond
 
 // Token is what a token is told with.
 type Token struct {
@@ -78,27 +78,27 @@
 	a.tokens.live(now)
 	paid := min(a.owed, tokens)
 	a.owed -= paid
-	a.tokens.add(batch{t, tokens - paid, now.Add(min(d, TokenFor))})
+	a.tokens.add(batch{t, tokens - paid, now.Add(min(d, TokenTTL))})
 }
 
-// Owe counts a request that was sent without asking: a token pays for it, or the next one does.
-func (a *Allowance) Owe(now time.Time) {
+// ForceTake counts a request that was sent without asking: a token pays for it, or the next one does.
+func (a *Allowance) ForceTake(now time.Time) {
 	if !a.Take(now) {
 		a.owed++
 	}
 }
 
-// Surplus takes back the tokens that are not spare and for which no requests are expected, where
+// ReleaseSurplus takes back the tokens that are not spare and for which no requests are expected, where
 // so many come a second.
-func (a *Allowance) Surplus(now time.Time, rate float64) []Back {
+func (a *Allowance) ReleaseSurplus(now time.Time, rate float64) []Release {
 	surplus := a.tokens.live(now) - expected(rate)
-	var out []Back
+	var out []Release
 	for i := range a.tokens {
 		t := &a.tokens[i]
 		if n := min(surplus, t.tokens); n > 0 && !t.Spare {
 			t.tokens -= n
 			surplus -= n
-			out = append(out, Back{Owner: t.Owner, Tokens: n, For: t.until.Sub(now)})
+			out = append(out, Release{Owner: t.Owner, Tokens: n, TTL: t.until.Sub(now)})
 		}
 	}
 	return out
@@ -106,19 +106,19 @@
 
 // expected is how many requests are sure to come while a token holds, where so many come a
 // second.
-func expected(rate float64) int { return int(rate * TokenFor.Seconds()) }
+func expected(rate float64) int { return int(rate * TokenTTL.Seconds()) }
 
-// Back is tokens that are given back.
-type Back struct {
+// Release is tokens that are given back.
+type Release struct {
 	Owner, Server string
 	Tokens        int
-	// For is how long they would have held.
-	For time.Duration
+	// TTL is how long they would have held.
+	TTL time.Duration
 }
 
-// SetAlone takes the requests a second that the gateway may send without tokens: zero while
+// SetFallbackRate takes the requests a second that the gateway may send without tokens: zero while
 // somebody issues them.
-func (a *Allowance) SetAlone(now time.Time, rate float64) {
+func (a *Allowance) SetFallbackRate(now time.Time, rate float64) {
 	a.settle(now)
 	if rate <= 0 {
 		a.level = 0
