--- a/control/hub.go
+++ b/control/hub.go
@@ -217,7 +217,7 @@
 	_ = l.Send(&wire.Message{Replicas: h.replicasNow()})
 	_ = l.Send(&wire.Message{Servers: h.allServers(h.clock.Now())})
 	_ = l.Send(&wire.Message{Loads: h.toldPeers.message()})
-	_ = l.Send(&wire.Message{Use: h.ledger.Whole(h.clock.Now())})
+	_ = l.Send(&wire.Message{Use: h.ledger.Snapshot(h.clock.Now())})
 	if observations := h.limitObservations(h.clock.Now()); len(observations) > 0 && l.Speaks() >= wire.KnowsLimits {
 		_ = l.Send(&wire.Message{Limits: &wire.Limits{Observations: observations}})
 	}
--- a/control/loads.go
+++ b/control/loads.go
@@ -69,9 +69,9 @@
 		h.own.gateways += map[bool]int{true: 1, false: -1}[sharing]
 		g.sharing, g.fresh, g.others = sharing, sharing, newShare()
 		if sharing {
-			h.ledger.Join(g.link)
+			h.ledger.AddGateway(g.link)
 		} else {
-			h.ledger.Leave(g.link)
+			h.ledger.RemoveGateway(g.link)
 			h.limits.broker.Forget(ratelimit.Requester{Name: g.id})
 			g.limitsTold = false
 		}
--- a/control/use.go
+++ b/control/use.go
@@ -18,10 +18,10 @@
 )
 
 // setUse takes what organisations have used at a gateway.
-func (h *hub) setUse(l *wire.Link, u *quota.Use) {
+func (h *hub) setUse(l *wire.Link, u *quota.UsageUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ledger.Use(h.clock.Now(), l, u.Used)
+	h.ledger.AddUsage(h.clock.Now(), l, u.Used)
 }
 
 // hear takes that a gateway has said something.
@@ -34,12 +34,12 @@
 }
 
 // setPeerUse takes what another replica tells of the use of limits.
-func (h *hub) setPeerUse(l *wire.Link, u *quota.Use) {
+func (h *hub) setPeerUse(l *wire.Link, u *quota.UsageUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	h.peerHeard[l] = now
-	h.ledger.Peer(now, u)
+	h.ledger.ApplyPeerUpdate(now, u)
 }
 
 // group returns the number of gateways that are told of each other: those that this
@@ -75,7 +75,7 @@
 	if !h.keyed() {
 		return
 	}
-	u := h.ledger.ForPeers(now)
+	u := h.ledger.PeerUpdate(now)
 	if u == nil {
 		return
 	}
@@ -94,8 +94,8 @@
 	if !h.keyed() {
 		return
 	}
-	h.ledger.Divide(now, h.group(now), h.seen(), h.cut)
-	h.ledger.ForGateways(now, func(l *wire.Link, u *quota.Use) { _ = l.Send(&wire.Message{Use: u}) })
+	h.ledger.UpdateShares(now, h.group(now), h.seen(), h.cut)
+	h.ledger.SendGatewayUpdates(now, func(l *wire.Link, u *quota.UsageUpdate) { _ = l.Send(&wire.Message{Use: u}) })
 }
 
 // keyed tells whether there are organisations, so that their use has to be told. Callers
--- a/control/zones.go
+++ b/control/zones.go
@@ -60,7 +60,7 @@
 		if !ok {
 			continue
 		}
-		out.Grants = append(out.Grants, c.broker.Ask(now, l.Peer.Name, a, limit*cust.ShareOrOne()))
+		out.Grants = append(out.Grants, c.broker.Lease(now, l.Peer.Name, a, limit*cust.ShareOrOne()))
 	}
 	_ = l.Send(&wire.Message{Lent: out})
 }
--- a/entry/shares.go
+++ b/entry/shares.go
@@ -13,7 +13,7 @@
 // askEarly asks as soon as a customer's requests outgrow the last wish. Callers
 // hold the lock.
 func (e *Entry) askEarly(now time.Time, customer string) {
-	if e.holder.Short(customer, e.core.OpenOf(customer)) && now.Sub(e.askedAt) >= askAgain {
+	if e.holder.NeedsMore(customer, e.core.OpenOf(customer)) && now.Sub(e.askedAt) >= askAgain {
 		e.askedAt = now
 		e.askShares(now)
 	}
@@ -26,7 +26,7 @@
 	for _, c := range e.broker.Customers() {
 		used[c] += (e.broker.Wanted(now, c) + 1) / 2 // a wish is twice the use
 	}
-	asks := e.holder.Wish(used)
+	asks := e.holder.Asks(used)
 	if len(asks) == 0 || e.up == nil {
 		return // what was lent stays until upstream is back
 	}
@@ -35,7 +35,7 @@
 
 func (e *Entry) takeLoans(m *wire.Lent) {
 	for _, g := range m.Grants {
-		e.holder.Granted(g)
+		e.holder.ApplyGrant(g)
 	}
 }
 
@@ -46,7 +46,7 @@
 	out := &wire.Lent{}
 	for _, a := range m.Asks {
 		mine := e.holder.Units(a.Customer) - used[a.Customer]
-		out.Grants = append(out.Grants, e.broker.Ask(now, l.Peer.Name, a, mine))
+		out.Grants = append(out.Grants, e.broker.Lease(now, l.Peer.Name, a, mine))
 	}
 	_ = l.Send(&wire.Message{Lent: out})
 	if e.shortOf(m.Asks) {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -20,11 +20,11 @@
 	mu      sync.Mutex
 	limiter *quota.Limiter
 	// shares tells who uses more than their share, of what this gateway and the others use.
-	shares *quota.Shares
+	shares *quota.FairShares
 }
 
 func newLimits(c *clock.Clock, b quota.Bounds) *limits {
-	return &limits{clock: c, limiter: quota.NewLimiter(b), shares: quota.NewShares()}
+	return &limits{clock: c, limiter: quota.NewLimiter(b), shares: quota.NewFairShares()}
 }
 
 // setTable puts the limits of the table in force, which is read under the lock: two may
@@ -38,24 +38,24 @@
 }
 
 // setPart takes the part of the limits that this gateway may use.
-func (l *limits) setPart(p quota.Part) {
+func (l *limits) setPart(p quota.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limiter.SetPart(l.clock.Now(), p)
+	l.limiter.SetShare(l.clock.Now(), p)
 }
 
 // take takes what a replica tells of the other gateways.
-func (l *limits) take(u *quota.Use) {
+func (l *limits) take(u *quota.UsageUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	if u.Whole {
-		l.limiter.Levels(now, u.Used)
+		l.limiter.MergeUsage(now, u.Used)
 		return
 	}
 	for name, size := range u.Used {
-		l.limiter.Others(now, name, float64(size))
-		l.shares.Note(now, name, float64(size))
+		l.limiter.ChargeRemote(now, name, float64(size))
+		l.shares.Add(now, name, float64(size))
 	}
 }
 
@@ -65,7 +65,7 @@
 		return false
 	}
 	l.mu.Lock()
-	beyond := l.shares.Beyond(l.clock.Now(), q.organisation.Name)
+	beyond := l.shares.Exceeds(l.clock.Now(), q.organisation.Name)
 	l.mu.Unlock()
 	if beyond {
 		metric.OrganisationRequests.WithLabelValues(q.organisation.Name, "beyond its share").Inc()
@@ -77,7 +77,7 @@
 func (l *limits) untold(now time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limiter.Untold(now)
+	return l.limiter.TakeUnreported(now)
 }
 
 // charge counts a request if it lies within the limit of its organisation.
@@ -86,7 +86,7 @@
 	defer l.mu.Unlock()
 	v := l.limiter.Take(q.arrived, q.organisation.Name, q.size, rand.Float64())
 	if v.OK {
-		l.shares.Note(q.arrived, q.organisation.Name, q.size)
+		l.shares.Add(q.arrived, q.organisation.Name, q.size)
 	}
 	return v
 }
@@ -106,11 +106,11 @@
 	}
 	metric.OrganisationRequests.WithLabelValues(q.organisation.Name, "over its limit").Inc()
 	event.OverLimit.Log(g.log, "id", q.id, "organisation", q.organisation.Name, "size", q.size, "rate", q.organisation.Rate, "burst", q.organisation.Burst,
-		"used", int(v.Used), "room", int(v.Room), "cut_off", v.CutOff, "told_ms", v.Age.Milliseconds())
-	if v.Untold {
+		"used", int(v.Used), "room", int(v.Capacity), "cut_off", v.Disconnected, "told_ms", v.Age.Milliseconds())
+	if v.Unassigned {
 		return &refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "what organisations have used is not known yet", retryAfter: unsureRetry}
 	}
-	return &refusal{route: q.route.Name, status: http.StatusTooManyRequests, reason: "over the limit of the organisation", retryAfter: spread(overLimitRetry(q.route, v.Wait))}
+	return &refusal{route: q.route.Name, status: http.StatusTooManyRequests, reason: "over the limit of the organisation", retryAfter: spread(overLimitRetry(q.route, v.RetryAfter))}
 }
 
 // overLimitRetry is when a caller beyond a limit should come back: when its request fits,
@@ -151,6 +151,6 @@
 	g.limits.mu.Lock()
 	defer g.limits.mu.Unlock()
 	now := g.clock.Now()
-	g.limits.limiter.Count(now, q.organisation.Name, size)
-	g.limits.shares.Note(now, q.organisation.Name, size)
+	g.limits.limiter.Charge(now, q.organisation.Name, size)
+	g.limits.shares.Add(now, q.organisation.Name, size)
 }
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -50,7 +50,7 @@
 	others shares
 	leader string
 	// parts are those of the limits that partsFrom, a replica, has told.
-	parts     quota.Part
+	parts     quota.Share
 	partsFrom string
 	// toldUse is closed when a replica has told of the use of limits for the first time.
 	toldUse chan struct{}
@@ -211,7 +211,7 @@
 // use takes what the replica that this gateway shares with tells of the use of limits. Only
 // that counts as being told: a replica that has just started says other things before it
 // has a table and limits to tell of.
-func (l *links) use(address string, u *quota.Use) {
+func (l *links) use(address string, u *quota.UsageUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != l.hub {
@@ -221,7 +221,7 @@
 		close(l.toldUse)
 	}
 	l.partsFrom = address
-	l.parts = quota.Part{Together: u.Together, Alone: u.Alone, Heard: l.g.clock.Now()}
+	l.parts = quota.Share{Connected: u.Together, Disconnected: u.Alone, Updated: l.g.clock.Now()}
 	l.g.limits.setPart(l.parts)
 	l.g.limits.take(u)
 }
@@ -321,7 +321,7 @@
 			_ = hub.Send(&wire.Message{Contents: list})
 		}
 		if used := l.g.limits.untold(now); used != nil {
-			_ = hub.Send(&wire.Message{Use: &quota.Use{Used: used}})
+			_ = hub.Send(&wire.Message{Use: &quota.UsageUpdate{Used: used}})
 		}
 	})
 }
--- a/quota/bounds.go
+++ b/quota/bounds.go
@@ -52,13 +52,13 @@
 // is free.
 func (b Bounds) start(l Limit) float64 { return max(b.room(l)-b.reserve(l)/8, 0) }
 
-// Part is the part of the limits that a gateway may use.
-type Part struct {
-	// Together is that of all gateways that are told of each other, Alone what the
+// Share is the part of the limits that a gateway may use.
+type Share struct {
+	// Connected is that of all gateways that are told of each other, Disconnected what the
 	// gateway may use by itself while it is not told.
-	Together, Alone float64
-	// Heard is when it was told last, even that there is nothing new.
-	Heard time.Time
+	Connected, Disconnected float64
+	// Updated is when it was told last, even that there is nothing new.
+	Updated time.Time
 }
 
 // How long it counts that a gateway was told.
@@ -74,9 +74,9 @@
 	tellWithin = 150 * time.Millisecond
 )
 
-// PartsOf returns the parts of a limit for a group of gateways that are told of each
+// SplitLimit returns the parts of a limit for a group of gateways that are told of each
 // other, of so many in all. The parts of all groups together are the whole.
-func PartsOf(group, all int) (together, alone float64) {
+func SplitLimit(group, all int) (together, alone float64) {
 	n := float64(max(all, group, 1))
 	return float64(group) / n, 1 / n
 }
--- a/quota/broker.go
+++ b/quota/broker.go
@@ -23,8 +23,8 @@
 	Units    int    `cbor:"2,keyasint"`
 }
 
-// Lifetime is how long a loan counts after the holder was last heard of.
-const Lifetime = 15 * time.Second
+// LeaseTTL is how long a loan counts after the holder was last heard of.
+const LeaseTTL = 15 * time.Second
 
 type loan struct {
 	units, want int
@@ -43,8 +43,8 @@
 // NewBroker returns a broker without loans.
 func NewBroker() *Broker { return &Broker{loans: map[string]map[string]loan{}} }
 
-// Ask answers a holder: at most total units of a customer are on loan.
-func (b *Broker) Ask(now time.Time, holder string, a Ask, total int) Grant {
+// Lease answers a holder: at most total units of a customer are on loan.
+func (b *Broker) Lease(now time.Time, holder string, a Ask, total int) Grant {
 	of := b.loans[a.Customer]
 	if of == nil {
 		of = map[string]loan{}
@@ -64,7 +64,7 @@
 	if a.Want <= 0 {
 		units = 0
 	}
-	of[holder] = loan{units, a.Want, now.Add(Lifetime)}
+	of[holder] = loan{units, a.Want, now.Add(LeaseTTL)}
 	if a.Want == 0 {
 		delete(of, holder)
 	}
@@ -74,8 +74,8 @@
 	return Grant{a.Customer, units}
 }
 
-// Lent returns the units of a customer that are on loan.
-func (b *Broker) Lent(now time.Time, customer string) int {
+// Leased returns the units of a customer that are on loan.
+func (b *Broker) Leased(now time.Time, customer string) int {
 	sum := 0
 	for _, l := range b.loans[customer] {
 		if !now.After(l.until) {
@@ -107,9 +107,9 @@
 	return out
 }
 
-// Floor is the number of open requests of a customer that an entry always
+// MinUnits is the number of open requests of a customer that an entry always
 // allows, so that the first ones wait for nobody.
-const Floor = 4
+const MinUnits = 4
 
 // firstPart is the part of a customer's fleet-wide limit that an entry allows
 // before its first wish has been answered.
@@ -131,25 +131,25 @@
 	if !known {
 		units = fleet / firstPart
 	}
-	return max(units, min(Floor, fleet))
+	return max(units, min(MinUnits, fleet))
 }
 
-// Short tells whether so many open requests of a customer call for a new wish.
-func (h *Holder) Short(customer string, used int) bool {
-	return used > Floor/2 && 2*used > h.asked[customer]
+// NeedsMore tells whether so many open requests of a customer call for a new wish.
+func (h *Holder) NeedsMore(customer string, used int) bool {
+	return used > MinUnits/2 && 2*used > h.asked[customer]
 }
 
-// Wish returns what to ask for: twice what is in use, so that the next growth
+// Asks returns what to ask for: twice what is in use, so that the next growth
 // needs no wait, and nothing of what is not needed any more.
-func (h *Holder) Wish(used map[string]int) []Ask {
+func (h *Holder) Asks(used map[string]int) []Ask {
 	var out []Ask
 	for c, n := range used {
-		if n > Floor/2 {
+		if n > MinUnits/2 {
 			out = append(out, Ask{c, 2 * n})
 		}
 	}
 	for c := range h.asked {
-		if used[c] <= Floor/2 {
+		if used[c] <= MinUnits/2 {
 			out = append(out, Ask{c, 0})
 		}
 	}
@@ -160,8 +160,8 @@
 	return out
 }
 
-// Granted takes the answer to a wish.
-func (h *Holder) Granted(g Grant) {
+// ApplyGrant takes the answer to a wish.
+func (h *Holder) ApplyGrant(g Grant) {
 	if h.asked[g.Customer] == 0 {
 		delete(h.units, g.Customer)
 		delete(h.asked, g.Customer)
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -37,8 +37,8 @@
 	peersAt time.Time
 }
 
-// Use is what processes tell each other about the use of limits.
-type Use struct {
+// UsageUpdate is what processes tell each other about the use of limits.
+type UsageUpdate struct {
 	// Used is what was used since it was told last, by organisation; what is below zero
 	// is given back. If Whole, it is all that has not run off.
 	Used  map[string]int `cbor:"1,keyasint,omitempty"`
@@ -95,7 +95,7 @@
 // NewLedger returns a ledger that has counted nothing yet.
 func NewLedger[K comparable](now time.Time, b Bounds) *Ledger[K] {
 	out := &Ledger[K]{limiter: NewLimiter(b), all: newSums(), own: newSums(), gateways: map[K]*gateway{}, start: now.UnixNano(), peers: map[int64]*peer{}}
-	out.limiter.SetPart(now, Part{Together: 1, Alone: 1})
+	out.limiter.SetShare(now, Share{Connected: 1, Disconnected: 1})
 	return out
 }
 
@@ -125,16 +125,16 @@
 	}
 }
 
-// Join begins to share with a gateway.
-func (l *Ledger[K]) Join(k K) {
+// AddGateway begins to share with a gateway.
+func (l *Ledger[K]) AddGateway(k K) {
 	l.gateways[k] = &gateway{used: map[string]int{}, told: map[string]int{}, fresh: true}
 }
 
-// Leave ends to share with a gateway. What it has used stays counted.
-func (l *Ledger[K]) Leave(k K) { delete(l.gateways, k) }
+// RemoveGateway ends to share with a gateway. What it has used stays counted.
+func (l *Ledger[K]) RemoveGateway(k K) { delete(l.gateways, k) }
 
-// Use takes what a gateway that shares with this replica has used.
-func (l *Ledger[K]) Use(now time.Time, k K, used map[string]int) {
+// AddUsage takes what a gateway that shares with this replica has used.
+func (l *Ledger[K]) AddUsage(now time.Time, k K, used map[string]int) {
 	for name, size := range used {
 		l.own.used[name] += size
 		if g := l.gateways[k]; g != nil {
@@ -146,7 +146,7 @@
 
 func (l *Ledger[K]) count(now time.Time, used map[string]int) {
 	for name, size := range used {
-		l.all.used[name] += int(l.limiter.Others(now, name, float64(size)))
+		l.all.used[name] += int(l.limiter.ChargeRemote(now, name, float64(size)))
 	}
 }
 
@@ -154,12 +154,12 @@
 // cut off go on to use their parts of the limits.
 const peakFor = 60 * time.Second
 
-// Divide works out the parts for a group of gateways that are told of each other, of so
+// UpdateShares works out the parts for a group of gateways that are told of each other, of so
 // many that are seen. A replica that is cut off from most of the others does not forget
 // those that it does not see. One that was frozen has heard nobody meanwhile: for a moment
 // it goes on with the group of before, or what the others have told would count as used by
 // a small part of them.
-func (l *Ledger[K]) Divide(now time.Time, group, seen int, cut bool) {
+func (l *Ledger[K]) UpdateShares(now time.Time, group, seen int, cut bool) {
 	if now.Sub(l.dividedAt) > tightFor {
 		l.holdUntil = now.Add(heldUp)
 	}
@@ -172,8 +172,8 @@
 		l.peak, l.peakAt = seen, now
 	}
 	l.group = min(max(group, 1), l.peak)
-	l.together, l.alone = PartsOf(l.group, l.peak)
-	l.limiter.SetPart(now, Part{Together: l.together, Alone: 1, Heard: now})
+	l.together, l.alone = SplitLimit(l.group, l.peak)
+	l.limiter.SetShare(now, Share{Connected: l.together, Disconnected: 1, Updated: now})
 }
 
 // surely returns a group of more gateways than were seen once it has been there for a
@@ -193,23 +193,23 @@
 // longer than the silence after which its old link is given up.
 const changeFor = 2 * time.Second
 
-// Whole returns what a replica is told that begins to listen to this one.
-func (l *Ledger[K]) Whole(now time.Time) *Use {
-	return &Use{Whole: true, Used: l.limiter.Used(now), Own: maps.Clone(l.own.used), Start: l.start}
+// Snapshot returns what a replica is told that begins to listen to this one.
+func (l *Ledger[K]) Snapshot(now time.Time) *UsageUpdate {
+	return &UsageUpdate{Whole: true, Used: l.limiter.Usage(now), Own: maps.Clone(l.own.used), Start: l.start}
 }
 
-// ForPeers returns what the other replicas have to be told now; nil if nothing.
-func (l *Ledger[K]) ForPeers(now time.Time) *Use {
+// PeerUpdate returns what the other replicas have to be told now; nil if nothing.
+func (l *Ledger[K]) PeerUpdate(now time.Time) *UsageUpdate {
 	due := l.own.due(now, l.limiter)
 	if due == nil && now.Sub(l.peersAt) < tellWithin && !l.limiter.tight(now) {
 		return nil
 	}
 	l.peersAt = now
-	return &Use{Used: due, Start: l.start}
+	return &UsageUpdate{Used: due, Start: l.start}
 }
 
-// ForGateways calls tell with what each gateway has to be told now.
-func (l *Ledger[K]) ForGateways(now time.Time, tell func(k K, u *Use)) {
+// SendGatewayUpdates calls tell with what each gateway has to be told now.
+func (l *Ledger[K]) SendGatewayUpdates(now time.Time, tell func(k K, u *UsageUpdate)) {
 	due := l.all.due(now, l.limiter)
 	tight := l.limiter.tight(now)
 	for k, g := range l.gateways {
@@ -221,11 +221,11 @@
 
 // forGateway returns what a gateway has to be told: what the others have used of some
 // limits, or of all if it was told nothing yet.
-func (l *Ledger[K]) forGateway(now time.Time, g *gateway, due map[string]int, tight bool) *Use {
-	out := &Use{Together: l.together, Alone: l.alone, Whole: g.fresh}
+func (l *Ledger[K]) forGateway(now time.Time, g *gateway, due map[string]int, tight bool) *UsageUpdate {
+	out := &UsageUpdate{Together: l.together, Alone: l.alone, Whole: g.fresh}
 	if g.fresh {
 		g.fresh = false
-		out.Used = l.limiter.Used(now)
+		out.Used = l.limiter.Usage(now)
 		for name, used := range l.all.used {
 			g.told[name] = used - g.used[name]
 		}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -39,7 +39,7 @@
 // Limiter counts what organisations use.
 type Limiter struct {
 	bounds   Bounds
-	part     Part
+	part     Share
 	accounts map[string]*account
 	// told tells that this gateway has been told what all have used.
 	told bool
@@ -66,29 +66,29 @@
 		}
 		a := l.accounts[name]
 		if a == nil {
-			a = &account{used: l.bounds.start(limit) * l.part.Together, alone: l.bounds.start(limit) * l.part.Alone, share: l.part.Together, at: now, toldAt: now}
+			a = &account{used: l.bounds.start(limit) * l.part.Connected, alone: l.bounds.start(limit) * l.part.Disconnected, share: l.part.Connected, at: now, toldAt: now}
 			l.accounts[name] = a
 		}
 		a.limit = limit
 	}
 }
 
-// SetPart takes the part of the limits that this gateway may use. After a silence the
+// SetShare takes the part of the limits that this gateway may use. After a silence the
 // accounts are settled before it counts as over.
-func (l *Limiter) SetPart(now time.Time, p Part) {
-	if p.Together == l.part.Together && p.Alone == l.part.Alone && p.Heard.Sub(l.part.Heard) < tightFor {
+func (l *Limiter) SetShare(now time.Time, p Share) {
+	if p.Connected == l.part.Connected && p.Disconnected == l.part.Disconnected && p.Updated.Sub(l.part.Updated) < tightFor {
 		l.part = p
 		return
 	}
-	first := l.part.Alone == 0
+	first := l.part.Disconnected == 0
 	for _, a := range l.accounts {
 		l.settle(now, a)
 	}
 	l.part = p
 	for _, a := range l.accounts {
-		l.rescale(a, p.Together)
+		l.rescale(a, p.Connected)
 		if first {
-			a.alone = l.bounds.start(a.limit) * p.Alone
+			a.alone = l.bounds.start(a.limit) * p.Disconnected
 		}
 	}
 }
@@ -116,14 +116,14 @@
 // settle lets run off what was used. Where the gateway was not told any more meanwhile, as
 // much is left of its own part from then on as of the whole.
 func (l *Limiter) settle(now time.Time, a *account) {
-	lost := l.part.Heard.Add(tightFor)
+	lost := l.part.Updated.Add(tightFor)
 	if now.Before(lost) {
 		a.cutOff = false
 	} else if !a.cutOff {
 		l.runOff(lost, a)
 		a.cutOff = true
 		if room := l.bounds.room(a.limit) * a.share; room > 0 {
-			a.alone = max(a.alone, min(a.used/room, 1)*l.bounds.room(a.limit)*l.part.Alone)
+			a.alone = max(a.alone, min(a.used/room, 1)*l.bounds.room(a.limit)*l.part.Disconnected)
 		}
 	}
 	l.runOff(now, a)
@@ -141,14 +141,14 @@
 		a.creditAt = now
 	}
 	a.used = max(a.used-gone*a.share, 0)
-	own := gone * l.part.Alone
+	own := gone * l.part.Disconnected
 	a.alone = max(a.alone-own, 0)
 	a.asked = max(a.asked-own, 0)
 }
 
-// Count counts a size whatever the limit is: of a request that runs once more. A size
+// Charge counts a size whatever the limit is: of a request that runs once more. A size
 // below zero gives back what was counted for a request that did not run.
-func (l *Limiter) Count(now time.Time, name string, size float64) {
+func (l *Limiter) Charge(now time.Time, name string, size float64) {
 	if a := l.accounts[name]; a != nil {
 		l.settle(now, a)
 		a.count(size)
@@ -159,10 +159,10 @@
 // others have used is set against what has run off meanwhile.
 const heldUp = 300 * time.Millisecond
 
-// Others counts what others have used. After a silence, as when this process was frozen,
+// ChargeRemote counts what others have used. After a silence, as when this process was frozen,
 // it is told all of some seconds at once, which has partly run off since. It returns what
 // has not.
-func (l *Limiter) Others(now time.Time, name string, size float64) float64 {
+func (l *Limiter) ChargeRemote(now time.Time, name string, size float64) float64 {
 	a := l.accounts[name]
 	if a == nil {
 		return size
@@ -184,9 +184,9 @@
 	return out
 }
 
-// Levels takes what all have used together, from somebody who has counted for longer.
+// MergeUsage takes what all have used together, from somebody who has counted for longer.
 // What is known here stays if it is more, but for what was assumed at the start.
-func (l *Limiter) Levels(now time.Time, used map[string]int) {
+func (l *Limiter) MergeUsage(now time.Time, used map[string]int) {
 	for name, a := range l.accounts {
 		l.settle(now, a)
 		told := float64(used[name]) * a.share
@@ -243,8 +243,8 @@
 	return out
 }
 
-// Used returns what all have used of each limit, as Levels takes it.
-func (l *Limiter) Used(now time.Time) map[string]int {
+// Usage returns what all have used of each limit, as Levels takes it.
+func (l *Limiter) Usage(now time.Time) map[string]int {
 	out := map[string]int{}
 	for name, a := range l.accounts {
 		l.settle(now, a)
--- a/quota/peer.go
+++ b/quota/peer.go
@@ -23,8 +23,8 @@
 	mostPeers = 32
 )
 
-// Peer takes what another replica tells.
-func (l *Ledger[K]) Peer(now time.Time, u *Use) {
+// ApplyPeerUpdate takes what another replica tells.
+func (l *Ledger[K]) ApplyPeerUpdate(now time.Time, u *UsageUpdate) {
 	p := l.peers[u.Start]
 	if !u.Whole {
 		if p == nil {
@@ -35,7 +35,7 @@
 		return
 	}
 	if p == nil {
-		l.limiter.Levels(now, u.Used)
+		l.limiter.MergeUsage(now, u.Used)
 	} else {
 		l.missed(now, p, u)
 	}
@@ -70,7 +70,7 @@
 }
 
 // missed counts what was used at the gateways of another replica while it was cut off.
-func (l *Ledger[K]) missed(now time.Time, p *peer, u *Use) {
+func (l *Ledger[K]) missed(now time.Time, p *peer, u *UsageUpdate) {
 	missed := map[string]int{}
 	for name, size := range u.Own {
 		missed[name] = size - p.own[name]
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Shares tells which organisations use more than their share of what there is. While
+// FairShares tells which organisations use more than their share of what there is. While
 // engines are full, what lies beyond an organisation's share waits behind the others, so
 // that one that sends several times its usual takes room that is left and not theirs. A
 // share is in proportion to the limit: that is what the operator says an organisation is
 // to have, and all use about the same part of it on an ordinary day.
-type Shares struct {
+type FairShares struct {
 	weights map[string]float64
 	weight  float64
 	recent  map[string]*recent
@@ -33,11 +33,11 @@
 	beyondShare = 1.5
 )
 
-// NewShares returns shares of no organisation.
-func NewShares() *Shares { return &Shares{recent: map[string]*recent{}} }
+// NewFairShares returns shares of no organisation.
+func NewFairShares() *FairShares { return &FairShares{recent: map[string]*recent{}} }
 
 // SetLimits takes the limits that shares are in proportion to.
-func (s *Shares) SetLimits(limits map[string]Limit) {
+func (s *FairShares) SetLimits(limits map[string]Limit) {
 	s.weights, s.weight = map[string]float64{}, 0
 	for name, limit := range limits {
 		if limit.Rate > 0 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Note counts what an organisation uses, wherever it does.
-func (s *Shares) Note(now time.Time, name string, size float64) {
+// Add counts what an organisation uses, wherever it does.
+func (s *FairShares) Add(now time.Time, name string, size float64) {
 	if s.weights[name] == 0 {
 		return
 	}
@@ -66,9 +66,9 @@
 	s.all.add(now, size)
 }
 
-// Beyond tells whether an organisation uses more than its share. One without a limit
+// Exceeds tells whether an organisation uses more than its share. One without a limit
 // never does, since what it uses is not told.
-func (s *Shares) Beyond(now time.Time, name string) bool {
+func (s *FairShares) Exceeds(now time.Time, name string) bool {
 	r := s.recent[name]
 	if r == nil {
 		return false
--- a/quota/tell.go
+++ b/quota/tell.go
@@ -36,12 +36,12 @@
 	}
 	l.settle(now, a)
 	left := l.bounds.room(a.limit)*a.share - a.used
-	return math.Abs(untold)*tellPart >= left*l.part.Alone
+	return math.Abs(untold)*tellPart >= left*l.part.Disconnected
 }
 
-// Untold returns what this gateway has used that has to be told now, by organisation;
+// TakeUnreported returns what this gateway has used that has to be told now, by organisation;
 // nil if nothing has. It counts as told.
-func (l *Limiter) Untold(now time.Time) map[string]int {
+func (l *Limiter) TakeUnreported(now time.Time) map[string]int {
 	var out map[string]int
 	for name, a := range l.accounts {
 		if !l.worth(now, name, a.untold, a.toldAt) {
--- a/replay/callers.go
+++ b/replay/callers.go
@@ -64,8 +64,8 @@
 	r.waiting = &dispatch.Waiting{Work: r.work, Engine: x.route, Avoid: dispatch.Avoid{}}
 	if x.p.Organisations > 0 {
 		name := strconv.Itoa(r.organisation)
-		x.shares.Note(x.now, name, float64(r.work.Prompt+r.work.Expected))
-		r.waiting.Work.Beyond = !x.o.Unfair && x.shares.Beyond(x.now, name)
+		x.shares.Add(x.now, name, float64(r.work.Prompt+r.work.Expected))
+		r.waiting.Work.Beyond = !x.o.Unfair && x.shares.Exceeds(x.now, name)
 	}
 	g.queue.Add(r.waiting)
 	g.waiting = append(g.waiting, r)
--- a/replay/play.go
+++ b/replay/play.go
@@ -91,7 +91,7 @@
 	returns []*request
 	due     float64
 	// shares is what organisations use: gateways know it some tens of milliseconds late.
-	shares *quota.Shares
+	shares *quota.FairShares
 	out    Result
 	firsts []time.Duration
 }
@@ -108,7 +108,7 @@
 		p: &p, o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), now: start, start: start,
 		route: p.engine(), byID: map[string]*engine{},
 	}
-	x.shares = quota.NewShares()
+	x.shares = quota.NewFairShares()
 	limits := map[string]quota.Limit{}
 	for n := range p.Organisations {
 		limits[strconv.Itoa(n)] = quota.Limit{Rate: 1}
--- a/wire/message.go
+++ b/wire/message.go
@@ -58,11 +58,11 @@
 	Registered *Registered `cbor:"36,keyasint,omitempty"`
 	Recorded   *Recorded   `cbor:"37,keyasint,omitempty"`
 
-	Routes   *Routes    `cbor:"32,keyasint,omitempty"`
-	Servers  *Servers   `cbor:"33,keyasint,omitempty"`
-	Replicas *Replicas  `cbor:"34,keyasint,omitempty"`
-	Loads    *Loads     `cbor:"35,keyasint,omitempty"`
-	Use      *quota.Use `cbor:"38,keyasint,omitempty"`
+	Routes   *Routes            `cbor:"32,keyasint,omitempty"`
+	Servers  *Servers           `cbor:"33,keyasint,omitempty"`
+	Replicas *Replicas          `cbor:"34,keyasint,omitempty"`
+	Loads    *Loads             `cbor:"35,keyasint,omitempty"`
+	Use      *quota.UsageUpdate `cbor:"38,keyasint,omitempty"`
 	// Contents are those under which servers have ended.
 	Contents []poison.Record `cbor:"39,keyasint,omitempty"`
 
