--- a/backend/selfreport.go
+++ b/backend/selfreport.go
@@ -41,7 +41,7 @@
 		}
 		values := head.Values(name)
 		if len(values) > 0 && !r.read(p, values, head, &out) {
-			out.Unread = append(out.Unread, selfreport.Unread{Field: r.field, Values: values})
+			out.UnreadableFields = append(out.UnreadableFields, selfreport.UnreadableField{Field: r.field, Values: values})
 		}
 	}
 	return out
--- a/control/selfreport.go
+++ b/control/selfreport.go
@@ -53,7 +53,7 @@
 func (p *pausedEngines) admit(now time.Time, id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if pause := p.pauses[id]; pause != nil && !pause.Admits(now, false) {
+	if pause := p.pauses[id]; pause != nil && !pause.AdmitCall(now, false) {
 		return backend.ErrPaused
 	}
 	return nil
@@ -64,14 +64,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for other, pause := range p.pauses {
-		if !pause.Lasts(now) {
+		if !pause.Active(now) {
 			delete(p.pauses, other)
 		}
 	}
 	if p.pauses[id] == nil {
 		p.pauses[id] = &selfreport.Pause{}
 	}
-	return p.pauses[id].Ask(now, d, 0)
+	return p.pauses[id].Extend(now, d, 0)
 }
 
 // newEnginePool returns the connections over which engines get reports and orders. What their
--- a/dispatch/cold.go
+++ b/dispatch/cold.go
@@ -50,7 +50,7 @@
 // Sent counts a request that was placed at a server.
 func (f *Fleet) Sent(now time.Time, id string) {
 	if s := f.servers[id]; s != nil {
-		s.pause.Begin(now)
+		s.pause.BeginRequest(now)
 		if f.IsCold(now, s) {
 			s.cold.lease.CountSent(now)
 		}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -200,7 +200,7 @@
 func (f *Fleet) regroup(now time.Time) {
 	f.groups, f.hidden, f.backAt = map[group][]*Server{}, map[group]int{}, time.Time{}
 	for _, s := range f.servers {
-		left := s.pause.Left(now)
+		left := s.pause.Remaining(now)
 		if !s.gone && (s.evacuated || left > 0) {
 			f.hidden[group{s.Service, s.Role}]++
 		}
@@ -248,7 +248,7 @@
 	var best *Server
 	bestScore := 0.0
 	f.search(now, w.Service, "", func(s *Server) bool {
-		if avoid[s.ID] || !s.listed(now) || !s.pause.Allows(now) || !f.bears(now, s) || !f.admits(now, s) || !w.permits(s) {
+		if avoid[s.ID] || !s.listed(now) || !s.pause.MayChoose(now) || !f.bears(now, s) || !f.admits(now, s) || !w.permits(s) {
 			return false
 		}
 		score := f.score(now, s)
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -69,7 +69,7 @@
 
 // open tells whether an engine may be chosen.
 func (f *Fleet) open(now time.Time, s *Server, avoid Avoid) bool {
-	return !avoid[s.ID] && s.listed(now) && !s.blocked(now) && s.pause.Allows(now) && f.bears(now, s) && f.admits(now, s)
+	return !avoid[s.ID] && s.listed(now) && !s.blocked(now) && s.pause.MayChoose(now) && f.bears(now, s) && f.admits(now, s)
 }
 
 type candidate struct {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -76,14 +76,14 @@
 	if o == Good && !s.alive(now) {
 		f.groups = nil // it was left out
 	}
-	if o == Busy && s.pause.Lasts(now) {
+	if o == Busy && s.pause.Active(now) {
 		// It says itself when to come back, and the others hear of it as of a failure.
 		s.seen.note(now, true)
 		f.judge(now)
 		return
 	}
 	if o == Good {
-		s.pause.Served(now)
+		s.pause.RequestServed(now)
 	}
 	s.health.note(now, o, took)
 	if o != Busy {
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -159,7 +159,7 @@
 )
 
 // listed tells whether a server may get new work now.
-func (s *Server) listed(now time.Time) bool { return s.inService(now) && s.pause.Left(now) == 0 }
+func (s *Server) listed(now time.Time) bool { return s.inService(now) && s.pause.Remaining(now) == 0 }
 
 // inService tells whether a server takes new work, if it does not want a pause.
 func (s *Server) inService(now time.Time) bool {
@@ -212,7 +212,7 @@
 		}
 	}
 	for id, s := range f.servers {
-		if s.Open == 0 && s.Own == (Load{}) && now.Sub(s.heardAt) > forgetAfter && s.pause.Left(now) == 0 {
+		if s.Open == 0 && s.Own == (Load{}) && now.Sub(s.heardAt) > forgetAfter && s.pause.Remaining(now) == 0 {
 			delete(f.servers, id)
 		}
 	}
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -43,7 +43,7 @@
 // it should; draw is evenly spread in [0, 1).
 func (f *Fleet) Leave(now time.Time, id string, e *route.Engine, draw float64) Reason {
 	s := f.servers[id]
-	if s == nil || s.gone || s.evacuated || s.pause.Lasts(now) || e.KVTokens <= 0 {
+	if s == nil || s.gone || s.evacuated || s.pause.Active(now) || e.KVTokens <= 0 {
 		return Stay // what runs in a zone that is being evacuated ends there; one that wants a pause is not asked to move
 	}
 	if s.State == registry.Draining {
--- a/dispatch/ruled.go
+++ b/dispatch/ruled.go
@@ -75,7 +75,7 @@
 		}
 		if s.evacuated {
 			out.Count[RuleEvacuated]++
-		} else if s.inService(now) && s.pause.Left(now) > 0 {
+		} else if s.inService(now) && s.pause.Remaining(now) > 0 {
 			out.Count[RulePause]++
 		}
 	}
@@ -97,7 +97,7 @@
 		return RuleLeaving
 	case s.blocked(now):
 		return RuleBlocked
-	case !s.pause.Allows(now):
+	case !s.pause.MayChoose(now):
 		return RulePause
 	case !f.bears(now, s):
 		return RuleCold
--- a/dispatch/selfreport.go
+++ b/dispatch/selfreport.go
@@ -28,7 +28,7 @@
 	}
 	var out []Change
 	if !r.Unreadable(selfreport.Limit) {
-		o := ratelimit.Observation{Sent: r.Sent, Received: r.Heard}
+		o := ratelimit.Observation{Sent: r.Sent, Received: r.Received}
 		if r.Limit != nil {
 			o.Limited, o.Rate = true, *r.Limit
 		}
@@ -50,9 +50,9 @@
 
 // notePause takes that a server wants no requests for a time; false if that is no news.
 func (f *Fleet) notePause(s *Server, r selfreport.Report) bool {
-	spread := selfreport.Spread(f.Sharing(s.Service, s.Role), r.RetryAfter)
+	spread := selfreport.ReturnSpread(f.Sharing(s.Service, s.Role), r.RetryAfter)
 	late := time.Duration(float64(spread) * float64(s.rank) / math.MaxUint64)
-	news := s.pause.Ask(r.Heard, r.RetryAfter, late)
+	news := s.pause.Extend(r.Received, r.RetryAfter, late)
 	f.groups = nil
 	return news
 }
@@ -92,23 +92,23 @@
 // frees something may sometimes.
 func (f *Fleet) MaySend(now time.Time, id string, frees bool) bool {
 	s := f.servers[id]
-	return s == nil || s.pause.Admits(now, frees)
+	return s == nil || s.pause.AdmitCall(now, frees)
 }
 
 // Paused tells whether a server wants no requests now.
 func (f *Fleet) Paused(now time.Time, id string) bool {
 	s := f.servers[id]
-	return s != nil && s.pause.Lasts(now)
+	return s != nil && s.pause.Active(now)
 }
 
 // PauseLeft returns how long, from a time on, the gateway stays away from the server by what was
 // known when s was taken.
-func (s *Server) PauseLeft(now time.Time) time.Duration { return s.pause.Left(now) }
+func (s *Server) PauseLeft(now time.Time) time.Duration { return s.pause.Remaining(now) }
 
 // PauseLeft returns how long this gateway still stays away from a server; zero if it does not.
 func (f *Fleet) PauseLeft(now time.Time, id string) time.Duration {
 	if s := f.servers[id]; s != nil {
-		return s.pause.Left(now)
+		return s.pause.Remaining(now)
 	}
 	return 0
 }
@@ -117,7 +117,7 @@
 func (f *Fleet) Pauses(now time.Time) int {
 	n := 0
 	for _, s := range f.servers {
-		if !s.gone && (s.pause.Left(now) > 0 || s.pause.Returns(now)) {
+		if !s.gone && (s.pause.Remaining(now) > 0 || s.pause.Ramping(now)) {
 			n++
 		}
 	}
@@ -133,8 +133,8 @@
 		if s.Service != w.Service || s.Role != role || !s.inService(now) || !w.permits(s) {
 			continue
 		}
-		left := s.pause.Left(now)
-		if left == 0 && !s.pause.Returns(now) {
+		left := s.pause.Remaining(now)
+		if left == 0 && !s.pause.Ramping(now) {
 			return 0, false
 		}
 		least, found = min(least, left), true
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -36,7 +36,7 @@
 		return
 	}
 	now := g.clock.Now()
-	r.Sent, r.Heard = now.Add(-ago), now
+	r.Sent, r.Received = now.Add(-ago), now
 	g.countReport(id, &r)
 	for _, c := range g.fleet.observe(id, r) {
 		g.logChange(c, &r)
@@ -52,12 +52,12 @@
 	if !ok {
 		return
 	}
-	for _, f := range r.Says() {
+	for _, f := range r.Fields() {
 		metric.ServerReports.WithLabelValues(s.Service, string(f)).Inc()
 	}
-	for _, u := range r.Unread {
+	for _, u := range r.UnreadableFields {
 		metric.ServerReportsUnread.WithLabelValues(s.Service, string(u.Field)).Inc()
-		if g.unreadReports.Allow(r.Heard, id+string(u.Field)) {
+		if g.unreadReports.Allow(r.Received, id+string(u.Field)) {
 			event.ServerReportUnread.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", clipped(u.Values))
 		}
 	}
@@ -80,7 +80,7 @@
 		return
 	}
 	event.ServerReport.Log(g.log, "server", c.Server.StableName(), "service", c.Server.Service, "field", string(c.Field),
-		"pause_ms", c.Pause.Milliseconds(), "age_ms", r.Heard.Sub(r.Sent).Milliseconds())
+		"pause_ms", c.Pause.Milliseconds(), "age_ms", r.Received.Sub(r.Sent).Milliseconds())
 }
 
 // observe takes what an answer of a server says of the server, and returns what has changed.
--- a/selfreport/pause.go
+++ b/selfreport/pause.go
@@ -6,7 +6,7 @@
 const (
 	// LongestPause bounds the time for which a server is believed to want no requests: one
 	// that names years by mistake is asked again.
-	LongestPause = time.Hour
+	MaxPause = time.Hour
 	// pauseNews is the least extension of a pause that is told as news: refusals of requests
 	// that were under way together extend it by some milliseconds each.
 	pauseNews = 500 * time.Millisecond
@@ -36,15 +36,15 @@
 }
 
 // Spread returns the time over which gateways come back to a server after a pause.
-func Spread(gateways int, pause time.Duration) time.Duration {
+func ReturnSpread(gateways int, pause time.Duration) time.Duration {
 	return min(time.Duration(max(gateways-1, 0))*spreadEach, longestSpread, pause/2)
 }
 
 // Ask takes that an answer, heard at a time, asks for a pause; late is how much later this gateway
 // comes back. A shorter one ends no longer one: both were asked for. It returns whether the pause
 // has begun, or is much longer now.
-func (p *Pause) Ask(heard time.Time, d, late time.Duration) bool {
-	until := heard.Add(min(d, LongestPause))
+func (p *Pause) Extend(heard time.Time, d, late time.Duration) bool {
+	until := heard.Add(min(d, MaxPause))
 	if !until.After(p.until) {
 		return false
 	}
@@ -57,15 +57,15 @@
 }
 
 // Lasts tells whether the server wants nothing now.
-func (p *Pause) Lasts(now time.Time) bool { return now.Before(p.until) }
+func (p *Pause) Active(now time.Time) bool { return now.Before(p.until) }
 
 // Left returns how long this gateway still stays away; zero if it does not.
-func (p *Pause) Left(now time.Time) time.Duration { return max(p.back.Sub(now), 0) }
+func (p *Pause) Remaining(now time.Time) time.Duration { return max(p.back.Sub(now), 0) }
 
 // Admits tells whether a request or call may be sent now. One call that frees something may be
 // sent in a pause: what it frees would stay held for nobody.
-func (p *Pause) Admits(now time.Time, frees bool) bool {
-	if !p.Lasts(now) {
+func (p *Pause) AdmitCall(now time.Time, frees bool) bool {
+	if !p.Active(now) {
 		return true
 	}
 	if !frees || p.freed {
@@ -76,25 +76,25 @@
 }
 
 // Allows tells whether the server may be chosen for one more request.
-func (p *Pause) Allows(now time.Time) bool {
-	return p.Left(now) == 0 && (!p.Returns(now) || p.begun < p.allowed)
+func (p *Pause) MayChoose(now time.Time) bool {
+	return p.Remaining(now) == 0 && (!p.Ramping(now) || p.begun < p.allowed)
 }
 
 // Returns tells whether the number of requests is bounded since a pause has ended.
-func (p *Pause) Returns(now time.Time) bool {
-	return p.allowed > 0 && p.Left(now) == 0 && now.Sub(p.back) < returnTime
+func (p *Pause) Ramping(now time.Time) bool {
+	return p.allowed > 0 && p.Remaining(now) == 0 && now.Sub(p.back) < returnTime
 }
 
 // Begin counts a request for which the server was chosen.
-func (p *Pause) Begin(now time.Time) {
-	if p.Returns(now) {
+func (p *Pause) BeginRequest(now time.Time) {
+	if p.Ramping(now) {
 		p.begun++
 	}
 }
 
 // Served takes that the server has served a request. One that fails leaves the bound as it is.
-func (p *Pause) Served(now time.Time) {
-	if !p.Returns(now) {
+func (p *Pause) RequestServed(now time.Time) {
+	if !p.Ramping(now) {
 		return
 	}
 	p.begun = max(p.begun-1, 0)
--- a/selfreport/report.go
+++ b/selfreport/report.go
@@ -27,7 +27,7 @@
 type Report struct {
 	// Sent is when the request went out, Heard when its answer came: the server said it in
 	// between.
-	Sent, Heard time.Time
+	Sent, Received time.Time
 	// Limit is in requests a second; nil if the answer names none, which ends a limit.
 	Limit *float64
 	// RetryAfter is zero if the server does not ask to be left alone.
@@ -36,27 +36,27 @@
 	// Cold is nil if the answer does not tell.
 	Cold *time.Duration
 	// Unread are the fields whose values can't be read. They change nothing.
-	Unread []Unread
+	UnreadableFields []UnreadableField
 }
 
 // Unread is a field that can't be read.
-type Unread struct {
+type UnreadableField struct {
 	Field  Field
 	Values []string
 }
 
 // Empty tells whether the answer says nothing.
 func (r *Report) Empty() bool {
-	return r.Limit == nil && r.RetryAfter == 0 && !r.Leaving && r.Cold == nil && len(r.Unread) == 0
+	return r.Limit == nil && r.RetryAfter == 0 && !r.Leaving && r.Cold == nil && len(r.UnreadableFields) == 0
 }
 
 // Unreadable tells whether a field is there and can't be read.
 func (r *Report) Unreadable(f Field) bool {
-	return slices.ContainsFunc(r.Unread, func(u Unread) bool { return u.Field == f })
+	return slices.ContainsFunc(r.UnreadableFields, func(u UnreadableField) bool { return u.Field == f })
 }
 
 // Says returns the fields that the answer names and that can be read.
-func (r *Report) Says() []Field {
+func (r *Report) Fields() []Field {
 	var out []Field
 	for _, f := range []struct {
 		field Field
