--- a/control/engines.go
+++ b/control/engines.go
@@ -75,7 +75,7 @@
 	if !ok {
 		return 0
 	}
-	memory := float64(l.Tokens) / (dispatch.MemoryUse * float64(max(engine.KVTokens, 1)))
+	memory := float64(l.Tokens) / (dispatch.MemoryOvercommit * float64(max(engine.KVTokens, 1)))
 	slots := float64(l.Runs) / float64(max(engine.Slots, 1))
 	return max(memory, slots)
 }
--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -39,7 +39,7 @@
 }
 
 // Request counts a request.
-func (b *Budget) Request(now time.Time) { b.window().at(now).a++ }
+func (b *Budget) CountRequest(now time.Time) { b.window().at(now).a++ }
 
 // Spend counts sends that could not be foreseen.
 func (b *Budget) Spend(now time.Time, sends int) { b.window().at(now).b += sends }
--- a/dispatch/cold.go
+++ b/dispatch/cold.go
@@ -12,11 +12,11 @@
 // other as long as the lease allows.
 
 // ColdServers is what a service says of its cold servers.
-type ColdServers struct {
+type ColdSettings struct {
 	// Bounded tells that they bear less than others do; For is how long one is that has just
 	// started.
-	Bounded bool
-	For     time.Duration
+	Bounded  bool
+	Duration time.Duration
 }
 
 // cold is what a gateway knows of a server that may be cold.
@@ -30,7 +30,7 @@
 }
 
 // SetCold takes what each service says of its cold servers.
-func (f *Fleet) SetCold(services map[string]ColdServers) { f.coldServers = services }
+func (f *Fleet) SetColdSettings(services map[string]ColdSettings) { f.coldServers = services }
 
 // IsCold tells whether a server bears fewer requests than usual now.
 func (f *Fleet) IsCold(now time.Time, s *Server) bool {
@@ -38,7 +38,7 @@
 	if !c.Bounded {
 		return false
 	}
-	return now.Before(s.cold.until) || !s.heardAt.After(s.cold.unsure) && now.Sub(s.cold.unsure) < c.For
+	return now.Before(s.cold.until) || !s.heardAt.After(s.cold.unsure) && now.Sub(s.cold.unsure) < c.Duration
 }
 
 // bears tells whether this gateway may send a server one more request, as far as that hangs on
@@ -48,18 +48,18 @@
 }
 
 // Sent counts a request that was placed at a server.
-func (f *Fleet) Sent(now time.Time, id string) {
+func (f *Fleet) NoteSent(now time.Time, id string) {
 	if s := f.servers[id]; s != nil {
 		s.pause.BeginRequest(now)
 		if f.IsCold(now, s) {
 			s.cold.lease.CountSent(now)
 		}
 	}
-	f.Admit(now, id)
+	f.TakeToken(now, id)
 }
 
 // Lease takes that this gateway may send a number of requests a second to a cold server.
-func (f *Fleet) Lease(now time.Time, id string, most int, d time.Duration) {
+func (f *Fleet) RenewLease(now time.Time, id string, most int, d time.Duration) {
 	if s := f.servers[id]; s != nil {
 		s.cold.lease.Renew(now, most, d)
 	}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -35,7 +35,7 @@
 }
 
 // Others is what a gateway knows of the other gateways.
-type Others struct {
+type OtherGateways struct {
 	// Gateways is the number of gateways that share the servers, and Known that
 	// of those whose loads are known; both count this one.
 	Gateways, Known int
@@ -44,7 +44,7 @@
 	// Loads is what they have reserved, by engine.
 	Loads map[string]Load
 	// Seen is how their requests went of late, by server, where some failed.
-	Seen map[string]Evidence
+	Evidence map[string]Evidence
 }
 
 // Server is one backend server as a gateway sees it.
@@ -110,16 +110,16 @@
 	regions map[string]string
 	trips   map[string]time.Duration
 	// Others is what is known of the other gateways.
-	Others Others
+	Others OtherGateways
 	// sizes are the numbers of servers of all groups, also of those that this
 	// gateway does not work with.
 	sizes map[group]int
 	// evacuated are the availability zones that get no new work.
 	evacuated map[string]bool
 	// coldServers is what services say of their cold servers.
-	coldServers map[string]ColdServers
+	coldServers map[string]ColdSettings
 	// Alone tells that nobody issues tokens to this gateway.
-	Alone bool
+	Standalone bool
 	// meters count the requests to each service.
 	meters map[string]*ratelimit.Meter
 	// earlyLimits are limits of servers that are not known yet.
@@ -129,11 +129,11 @@
 }
 
 // SetSize takes the number of servers of a service and role.
-func (f *Fleet) SetSize(service, role string, n int) { f.sizes[group{service, role}] = n }
+func (f *Fleet) SetGroupSize(service, role string, n int) { f.sizes[group{service, role}] = n }
 
 // Sharing returns the number of gateways that work with one server of a service
 // and role: all of them, unless each has a part of the servers.
-func (f *Fleet) Sharing(service, role string) int {
+func (f *Fleet) GatewaysPerServer(service, role string) int {
 	return subset.GatewaysPerServer(f.sizes[group{service, role}], f.Others.Gateways)
 }
 
@@ -222,15 +222,15 @@
 
 // NewFleet returns a fleet without servers.
 func NewFleet(name, zone string) *Fleet {
-	return &Fleet{key: mix.Name(name), servers: map[string]*Server{}, starts: registry.NewIncarnations(), sizes: map[group]int{}, readRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, earlyLimits: map[string]ratelimit.Observation{}, trips: map[string]time.Duration{}, Zone: zone, Others: Others{Gateways: 1, Known: 1}}
+	return &Fleet{key: mix.Name(name), servers: map[string]*Server{}, starts: registry.NewIncarnations(), sizes: map[group]int{}, readRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, earlyLimits: map[string]ratelimit.Observation{}, trips: map[string]time.Duration{}, Zone: zone, Others: OtherGateways{Gateways: 1, Known: 1}}
 }
 
 // SetOthers takes what is known of the other gateways.
-func (f *Fleet) SetOthers(now time.Time, o Others) {
+func (f *Fleet) SetOthers(now time.Time, o OtherGateways) {
 	f.Others = o
 	for id, s := range f.servers {
 		s.Others = o.Loads[id]
-		s.OthersSeen = o.Seen[id]
+		s.OthersSeen = o.Evidence[id]
 	}
 	f.judge(now)
 }
@@ -244,7 +244,7 @@
 // Plain chooses a server of a plain service: the one with the least expected
 // time, by what this gateway has open there and how the last requests went. It
 // returns nil if there is none.
-func (f *Fleet) Plain(now time.Time, w Work, avoid Avoid) *Server {
+func (f *Fleet) ChoosePlain(now time.Time, w Work, avoid Avoid) *Server {
 	var best *Server
 	bestScore := 0.0
 	f.search(now, w.Service, "", func(s *Server) bool {
@@ -272,7 +272,7 @@
 }
 
 // Seen returns how this gateway's requests went of late, by server.
-func (f *Fleet) Seen(now time.Time) map[string]Evidence {
+func (f *Fleet) Evidence(now time.Time) map[string]Evidence {
 	out := map[string]Evidence{}
 	for id, s := range f.servers {
 		if e := s.seen.sum(now); e != (Evidence{}) {
--- a/dispatch/distance.go
+++ b/dispatch/distance.go
@@ -26,7 +26,7 @@
 }
 
 // Near tells whether a server is in this gateway's region.
-func (f *Fleet) Near(s *Server) bool { return f.proximity(f.Zone, s.Zone) != OtherRegion }
+func (f *Fleet) InRegion(s *Server) bool { return f.proximity(f.Zone, s.Zone) != OtherRegion }
 
 // Constants of distance.
 const (
@@ -56,12 +56,12 @@
 	if s == nil {
 		return
 	}
-	old := f.Trip(s.Zone)
+	old := f.RoundTrip(s.Zone)
 	f.trips[s.Zone] = old + time.Duration(tripWeight*float64(took-old))
 }
 
 // Trip returns the time of a round trip to a zone.
-func (f *Fleet) Trip(zone string) time.Duration {
+func (f *Fleet) RoundTrip(zone string) time.Duration {
 	if t, ok := f.trips[zone]; ok {
 		return t
 	}
@@ -77,7 +77,7 @@
 	if f.proximity(f.Zone, zone) != OtherRegion {
 		return 0
 	}
-	return trips * float64(f.Trip(zone)) / float64(time.Millisecond)
+	return trips * float64(f.RoundTrip(zone)) / float64(time.Millisecond)
 }
 
 // streamCost is what the way of a stream from an engine to this gateway counts as.
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -13,21 +13,21 @@
 	// Prompt are the tokens of the prompt, Expected those of the answer.
 	Prompt, Expected int
 	// Made are the tokens of the answer so far.
-	Made int
+	Generated int
 	// Kept are the tokens at the begin of the prompt that engines are known to keep
 	// the KV cache of, by engine; they need not be read there again.
-	Kept map[string]int
+	Cached map[string]int
 	// Within is the time in which the prompt should be read; zero for no bound.
-	Within time.Duration
+	MaxPrefillTime time.Duration
 	// Regions are those in which it may be served and its prompt kept; empty for all.
 	Regions []string
 	// Beyond tells that its organisation uses more than its share of late: it waits behind
 	// the others, and leaves some room to them.
-	Beyond bool
+	OverShare bool
 }
 
 // held is the KV cache that the request has now.
-func (w Work) held() int { return w.Prompt + w.Made }
+func (w Work) held() int { return w.Prompt + w.Generated }
 
 // tokens is the KV cache that the request will have at its end.
 func (w Work) tokens() int { return w.Prompt + w.Expected }
@@ -37,7 +37,7 @@
 	// MemoryUse is the part of an engine's memory that reservations may fill.
 	// A reservation counts the tokens at the end of a run, which most runs have
 	// not reached yet.
-	MemoryUse = 1.2
+	MemoryOvercommit = 1.2
 	// blindShare is the part of the average that a gateway that is not heard is
 	// taken to have reserved.
 	blindShare = 0.7
@@ -47,7 +47,7 @@
 )
 
 // Decode chooses a decode engine for a prompt that has been read in a zone.
-func (f *Fleet) Decode(now time.Time, w Work, e *route.Engine, zone string, avoid Avoid) *Server {
+func (f *Fleet) ChooseDecode(now time.Time, w Work, e *route.Engine, zone string, avoid Avoid) *Server {
 	var best candidate
 	f.search(now, w.Service, registry.Decode, func(s *Server) bool {
 		if !f.mayTake(now, s, w, avoid) || !f.fits(s, w, e) {
@@ -128,7 +128,7 @@
 	if !f.roomNow(s, w, e, part*fullMark) {
 		return RuleMemoryNow
 	}
-	if used+float64(w.tokens()) > part*MemoryUse*float64(e.KVTokens) {
+	if used+float64(w.tokens()) > part*MemoryOvercommit*float64(e.KVTokens) {
 		return RuleMemory
 	}
 	return ""
@@ -143,7 +143,7 @@
 
 // roomOf returns the part of an engine's room that a request may fill.
 func (f *Fleet) roomOf(w Work) float64 {
-	if w.Beyond {
+	if w.OverShare {
 		return beyondPart
 	}
 	return 1
@@ -167,7 +167,7 @@
 // booked now, and whether more is expected of it.
 func (f *Fleet) Grow(id string, w Work, made int) (grown Work, longer bool) {
 	grown = w
-	grown.Made = made
+	grown.Generated = made
 	if made >= w.Expected {
 		grown.Expected += max(w.Expected/growPart, 1)
 		longer = true
--- a/dispatch/evacuate.go
+++ b/dispatch/evacuate.go
@@ -4,7 +4,7 @@
 
 // Evacuate takes which availability zones get no new work. Requests under way there end as
 // usual; everything that is chosen from now on is chosen among the other zones.
-func (f *Fleet) Evacuate(now time.Time, zones []string) {
+func (f *Fleet) SetEvacuated(now time.Time, zones []string) {
 	f.evacuated = map[string]bool{}
 	for _, zone := range zones {
 		f.evacuated[zone] = true
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -11,9 +11,9 @@
 	// question.
 	Prefill string
 	// Refused are the decode engines that turned the request away, in order.
-	Refused []string
+	RefusedBy []string
 	// Taken is the one that took it; empty if none did.
-	Taken string
+	AcceptedBy string
 }
 
 // Constants of blame for refusals.
@@ -31,22 +31,22 @@
 // that two have refused is not. A single refusal counts at both sides.
 func (f *Fleet) NoteHandover(now time.Time, h Handover) {
 	prefill := f.servers[h.Prefill]
-	if s := f.servers[h.Taken]; s != nil {
+	if s := f.servers[h.AcceptedBy]; s != nil {
 		s.refusals = 0
 	}
 	switch {
-	case h.Taken != "":
+	case h.AcceptedBy != "":
 		if prefill != nil {
 			prefill.refusals = 0
 		}
-		for _, id := range h.Refused {
+		for _, id := range h.RefusedBy {
 			f.leaveAlone(now, f.servers[id], refusedBlock)
 		}
-	case len(h.Refused) > 1:
+	case len(h.RefusedBy) > 1:
 		f.leaveAlone(now, prefill, blockMin)
-	case len(h.Refused) == 1:
+	case len(h.RefusedBy) == 1:
 		f.suspect(now, prefill, blockMin)
-		f.suspect(now, f.servers[h.Refused[0]], refusedBlock)
+		f.suspect(now, f.servers[h.RefusedBy[0]], refusedBlock)
 	}
 }
 
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -8,13 +8,13 @@
 // The outcomes.
 const (
 	// Good is a whole answer.
-	Good Outcome = iota
+	Success Outcome = iota
 	// Busy is a refusal because the server is full.
 	Busy
 	// Bad is a failure of the server's own, or an answer that makes no sense.
-	Bad
+	Failure
 	// Unreached is a connection that could not be opened.
-	Unreached
+	Unreachable
 	// Neutral says nothing: the caller left.
 	Neutral
 )
@@ -68,12 +68,12 @@
 )
 
 // Note takes how a request to a server went, and how long it took.
-func (f *Fleet) Note(now time.Time, id string, o Outcome, took time.Duration) {
+func (f *Fleet) NoteOutcome(now time.Time, id string, o Outcome, took time.Duration) {
 	s := f.servers[id]
 	if s == nil || o == Neutral {
 		return
 	}
-	if o == Good && !s.alive(now) {
+	if o == Success && !s.alive(now) {
 		f.groups = nil // it was left out
 	}
 	if o == Busy && s.pause.Active(now) {
@@ -82,14 +82,14 @@
 		f.judge(now)
 		return
 	}
-	if o == Good {
+	if o == Success {
 		s.pause.RequestServed(now)
 	}
 	s.health.note(now, o, took)
 	if o != Busy {
-		s.seen.note(now, o != Good)
+		s.seen.note(now, o != Success)
 	}
-	if o == Bad || o == Unreached {
+	if o == Failure || o == Unreachable {
 		f.judge(now)
 	}
 }
@@ -98,16 +98,16 @@
 	h.samples++
 	failed := 0.0
 	switch o {
-	case Good:
+	case Success:
 		h.lastGood = now
 		h.block = 0
 		h.unreachedAt = time.Time{}
 		h.latency += weight * (took.Seconds() - h.latency)
 	case Busy:
 		failed = 0.5
-	case Bad:
+	case Failure:
 		failed = 1
-	case Unreached:
+	case Unreachable:
 		h.eject(now, blockMin)
 		h.unreachedAt = now
 		return
@@ -138,7 +138,7 @@
 }
 
 // LeftAlone tells whether a server gets no new work for what went wrong there.
-func (f *Fleet) LeftAlone(now time.Time, id string) bool {
+func (f *Fleet) Blocked(now time.Time, id string) bool {
 	s := f.servers[id]
 	return s != nil && s.blocked(now)
 }
--- a/dispatch/kept.go
+++ b/dispatch/kept.go
@@ -25,7 +25,7 @@
 
 // KeptTokens returns the tokens at the begin of a prompt that an engine keeps, by what
 // it keeps of each part. A part is of use only if all parts before it are kept whole.
-func KeptTokens(prompt []route.PromptPart, kept map[string]int) int {
+func CachedTokens(prompt []route.PromptPart, kept map[string]int) int {
 	sum := 0
 	for _, part := range prompt {
 		tokens := min(kept[part.ID], part.Tokens)
@@ -39,7 +39,7 @@
 
 // unread is the tokens of the prompt that an engine would have to read.
 func (w Work) unread(engine string) int {
-	kept := w.Kept[engine]
+	kept := w.Cached[engine]
 	if kept > 0 && w.Prompt-kept < lightRead {
 		return 0
 	}
@@ -57,7 +57,7 @@
 // againCost is the time in milliseconds that a read at an engine counts as beyond its
 // own, if the prompt has been read before.
 func (f *Fleet) againCost(s *Server, w Work) float64 {
-	if len(w.Kept) == 0 {
+	if len(w.Cached) == 0 {
 		return 0
 	}
 	return againWeight * float64(w.unread(s.ID)) / f.readRate(s.Service)
@@ -66,7 +66,7 @@
 // searchKept is search for a prompt: engines that keep a part of it are looked at
 // besides.
 func (f *Fleet) searchKept(now time.Time, w Work, role string, fits func(s *Server) bool) {
-	for id := range w.Kept {
+	for id := range w.Cached {
 		if s := f.servers[id]; s != nil && s.Role == role {
 			fits(s)
 		}
@@ -75,7 +75,7 @@
 }
 
 // Usable returns the servers of a service that may get new work.
-func (f *Fleet) Usable(now time.Time, service string) []*Server {
+func (f *Fleet) EligibleServers(now time.Time, service string) []*Server {
 	var out []*Server
 	for _, s := range f.servers {
 		if s.Service == service && f.open(now, s, nil) {
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -44,13 +44,13 @@
 // NoteLimit takes what an answer of a server says of its limit. What allows more counts only by
 // the observation of control, which knows the answers that other gateways had, unless this gateway is
 // alone. It returns false if nothing has changed.
-func (f *Fleet) NoteLimit(now time.Time, id string, w ratelimit.Observation) (LimitChange, bool) {
+func (f *Fleet) ObserveLimit(now time.Time, id string, w ratelimit.Observation) (LimitChange, bool) {
 	s := f.servers[id]
 	if s == nil {
 		return LimitChange{}, false
 	}
 	l := &s.limit
-	if l.Loosens(w) && !f.Alone {
+	if l.Loosens(w) && !f.Standalone {
 		l.untold = &w
 		return LimitChange{}, false
 	}
@@ -63,7 +63,7 @@
 
 // TellLimit takes what control tells of a server's limit; false if nothing has changed. Control
 // may not know yet what this gateway has heard since, and is told then.
-func (f *Fleet) TellLimit(now time.Time, id string, w ratelimit.Observation) (LimitChange, bool) {
+func (f *Fleet) ApplyLimit(now time.Time, id string, w ratelimit.Observation) (LimitChange, bool) {
 	s := f.servers[id]
 	if s == nil {
 		if len(f.earlyLimits) < mostEarly {
@@ -102,7 +102,7 @@
 }
 
 // UntoldLimits returns what control has to hear of limits; it counts as told.
-func (f *Fleet) UntoldLimits(now time.Time) []ServerObservation {
+func (f *Fleet) UnsentLimits(now time.Time) []ServerObservation {
 	var out []ServerObservation
 	for id, s := range f.servers {
 		if w := s.limit.Newest(); w.Limited && s.limit.untold == nil && now.Sub(s.limit.toldAt) >= limitRetell {
@@ -117,7 +117,7 @@
 }
 
 // RetellLimits has control told of all limits again, as another replica that does not know them.
-func (f *Fleet) RetellLimits() {
+func (f *Fleet) ResendLimits() {
 	for _, s := range f.servers {
 		if w := s.limit.Newest(); w.Limited {
 			s.limit.untold = &w
@@ -138,7 +138,7 @@
 }
 
 // Admit counts a request that is to go to a server; false if the server's limit forbids that.
-func (f *Fleet) Admit(now time.Time, id string) bool {
+func (f *Fleet) TakeToken(now time.Time, id string) bool {
 	s := f.servers[id]
 	if s == nil || !f.IsLimited(now, s) {
 		return true
@@ -151,7 +151,7 @@
 }
 
 // Owe counts a request that went to a server in any case: the next token for it pays.
-func (f *Fleet) Owe(now time.Time, id string) {
+func (f *Fleet) OweToken(now time.Time, id string) {
 	if s := f.servers[id]; s != nil && f.IsLimited(now, s) {
 		s.limit.allowance.ForceTake(now)
 		s.limit.sent++
@@ -159,7 +159,7 @@
 }
 
 // Grant takes tokens for a server. It returns the server's service; empty if it is not known.
-func (f *Fleet) Grant(now time.Time, id string, t ratelimit.Token, tokens int, d time.Duration) string {
+func (f *Fleet) GrantTokens(now time.Time, id string, t ratelimit.Token, tokens int, d time.Duration) string {
 	s := f.servers[id]
 	if s == nil {
 		return ""
@@ -169,7 +169,7 @@
 }
 
 // Surplus takes back the tokens of a server for which no request is expected.
-func (f *Fleet) Surplus(now time.Time, id string) []ratelimit.Release {
+func (f *Fleet) ReleaseSurplus(now time.Time, id string) []ratelimit.Release {
 	s := f.servers[id]
 	if s == nil {
 		return nil
@@ -183,10 +183,10 @@
 
 // ShareLimits lets a gateway that is alone send its own part of each limit, one of as many as there
 // are gateways; else it needs tokens.
-func (f *Fleet) ShareLimits(now time.Time) {
+func (f *Fleet) SetStandaloneRates(now time.Time) {
 	for _, s := range f.servers {
 		rate, limited := s.limit.Rate(now)
-		if !limited || !f.Alone {
+		if !limited || !f.Standalone {
 			rate = 0
 		}
 		s.limit.allowance.SetFallbackRate(now, rate/float64(max(f.Others.Gateways, 1)))
@@ -204,10 +204,10 @@
 }
 
 // Request counts a request of a caller to a service.
-func (f *Fleet) Request(now time.Time, service string) { f.meter(service).Count(now) }
+func (f *Fleet) CountRequest(now time.Time, service string) { f.meter(service).Count(now) }
 
 // LimitedRates returns the requests a second that come for each service with a limited server.
-func (f *Fleet) LimitedRates(now time.Time) map[string]float64 {
+func (f *Fleet) LimitedServiceRates(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for _, s := range f.servers {
 		if _, known := out[s.Service]; !known && !s.gone && f.IsLimited(now, s) {
@@ -218,7 +218,7 @@
 }
 
 // OnlyTokensLack tells whether a request could go to some server if that took more.
-func (f *Fleet) OnlyTokensLack(now time.Time, w Work, avoid Avoid) bool {
+func (f *Fleet) LacksOnlyToken(now time.Time, w Work, avoid Avoid) bool {
 	for _, s := range f.servers {
 		if s.Service == w.Service && !avoid[s.ID] && s.listed(now) && w.permits(s) && !f.admits(now, s) {
 			return true
@@ -228,7 +228,7 @@
 }
 
 // Limited returns the number of servers that name a limit, or did until just before.
-func (f *Fleet) Limited(now time.Time) int {
+func (f *Fleet) CountLimited(now time.Time) int {
 	n := 0
 	for _, s := range f.servers {
 		if !s.gone && f.IsLimited(now, s) {
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -33,7 +33,7 @@
 		return nil
 	}
 	s.State, s.ended = registry.Gone, true
-	f.Gone(id)
+	f.MarkGone(id)
 	return s
 }
 
@@ -42,7 +42,7 @@
 	heard := now.Add(-r.Age)
 	s := f.servers[r.ID]
 	if s == nil {
-		s = &Server{Server: r, heardAt: heard, rank: f.rank(r.ID), Others: f.Others.Loads[r.ID], OthersSeen: f.Others.Seen[r.ID]}
+		s = &Server{Server: r, heardAt: heard, rank: f.rank(r.ID), Others: f.Others.Loads[r.ID], OthersSeen: f.Others.Evidence[r.ID]}
 		s.gone = r.State == registry.Gone
 		s.evacuated, s.region = f.evacuated[r.Zone], f.regions[r.Zone]
 		s.heardCold(heard, r.Cold)
@@ -58,7 +58,7 @@
 	}
 	if r.State == registry.Gone {
 		s.State = registry.Gone
-		f.Gone(s.ID)
+		f.MarkGone(s.ID)
 		return
 	}
 	if s.gone || s.State == registry.Draining && r.State == registry.Ready || r.Sequence < s.Sequence && r.State == s.State {
@@ -75,14 +75,14 @@
 }
 
 // Ended tells whether a start has been replaced by a later one of its server.
-func (f *Fleet) Ended(id string) bool {
+func (f *Fleet) Replaced(id string) bool {
 	s := f.servers[id]
 	return s != nil && s.ended
 }
 
 // Heard takes that servers have reported themselves again, at a time, with
 // nothing new.
-func (f *Fleet) Heard(at time.Time, ids []string) {
+func (f *Fleet) NoteHeartbeats(at time.Time, ids []string) {
 	for _, id := range ids {
 		s := f.servers[id]
 		if s == nil || !at.After(s.heardAt) {
@@ -133,7 +133,7 @@
 
 // Gone marks a server that has left, or that another one answered for at its address.
 // One that was behind it counts again.
-func (f *Fleet) Gone(id string) {
+func (f *Fleet) MarkGone(id string) {
 	s := f.servers[id]
 	if s == nil {
 		return
@@ -175,7 +175,7 @@
 }
 
 // Listed tells whether a server may get new work now.
-func (f *Fleet) Listed(now time.Time, id string) bool {
+func (f *Fleet) Available(now time.Time, id string) bool {
 	s := f.servers[id]
 	return s != nil && s.listed(now)
 }
@@ -185,7 +185,7 @@
 const awayLimit = 10 * time.Second
 
 // Away takes that an engine changes its role, which takes at least a time.
-func (f *Fleet) Away(now time.Time, id, role string, least time.Duration) {
+func (f *Fleet) BeginRoleChange(now time.Time, id, role string, least time.Duration) {
 	if s := f.servers[id]; s != nil {
 		s.away, s.backAt, s.awayUntil = role, now.Add(least), now.Add(least+awayLimit)
 	}
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -30,18 +30,18 @@
 )
 
 // Reason tells why a run should leave its engine.
-type Reason string
+type MigrationReason string
 
 // The reasons.
 const (
-	Stay    Reason = ""
-	Full    Reason = "full"
-	Leaving Reason = "leaving"
+	Stay    MigrationReason = ""
+	Full    MigrationReason = "full"
+	Leaving MigrationReason = "leaving"
 )
 
 // Leave tells why a run that has made another event should leave its engine, if
 // it should; draw is evenly spread in [0, 1).
-func (f *Fleet) Leave(now time.Time, id string, e *route.Engine, draw float64) Reason {
+func (f *Fleet) MigrationReason(now time.Time, id string, e *route.Engine, draw float64) MigrationReason {
 	s := f.servers[id]
 	if s == nil || s.gone || s.evacuated || s.pause.Active(now) || e.KVTokens <= 0 {
 		return Stay // what runs in a zone that is being evacuated ends there; one that wants a pause is not asked to move
@@ -71,7 +71,7 @@
 	if s == nil {
 		return nil
 	}
-	rest := Work{Service: w.Service, Regions: w.Regions, Prompt: w.held(), Expected: max(w.Expected-w.Made, 0)}
+	rest := Work{Service: w.Service, Regions: w.Regions, Prompt: w.held(), Expected: max(w.Expected-w.Generated, 0)}
 	byWay := map[Proximity][]*Server{}
 	f.search(now, w.Service, registry.Decode, func(to *Server) bool {
 		if to.ID == from || !f.mayTake(now, to, rest, nil) || !f.fits(to, rest, e) || !f.roomNow(to, rest, e, roomMark) {
--- a/dispatch/patience.go
+++ b/dispatch/patience.go
@@ -18,7 +18,7 @@
 	// Token is the time of one token of an answer, Whole that of a request from its
 	// arrival to its end, and First that from room to the first event, with its mean
 	// deviation. All are zero until a run has ended.
-	Token, Whole, First, FirstDeviation time.Duration
+	Token, Total, First, FirstDeviation time.Duration
 }
 
 const (
@@ -35,8 +35,8 @@
 	if tokens <= 0 || answer <= 0 {
 		return
 	}
-	newest := RunTimes{Token: answer / time.Duration(tokens), Whole: whole, First: first, FirstDeviation: (first - r.First).Abs()}
-	if r.Whole == 0 {
+	newest := RunTimes{Token: answer / time.Duration(tokens), Total: whole, First: first, FirstDeviation: (first - r.First).Abs()}
+	if r.Total == 0 {
 		newest.FirstDeviation = first / 2
 		*r = newest
 		return
@@ -45,7 +45,7 @@
 		return old + time.Duration(runWeight*float64(newest-old))
 	}
 	*r = RunTimes{
-		Token: part(r.Token, newest.Token), Whole: part(r.Whole, newest.Whole),
+		Token: part(r.Token, newest.Token), Total: part(r.Total, newest.Total),
 		First: part(r.First, newest.First), FirstDeviation: part(r.FirstDeviation, newest.FirstDeviation),
 	}
 }
@@ -60,7 +60,7 @@
 // be served within a time if nobody else waits, a few draws for room if others do, and
 // not at all if so many wait before it that it is not likely to be served in time. Ahead
 // are the requests that wait at this gateway.
-func (f *Fleet) Patience(now time.Time, w Work, within time.Duration, ahead int, r RunTimes) time.Duration {
+func (f *Fleet) QueueTimeout(now time.Time, w Work, within time.Duration, ahead int, r RunTimes) time.Duration {
 	first := max(r.First+firstDeviations*r.FirstDeviation, f.leastRead(now, w)+milliseconds(handoverCost))
 	limit := max(within-first, 0)
 	waiting := f.Others.Queued + ahead
@@ -76,7 +76,7 @@
 // turnWait is the expected time until as many runs have ended as requests wait here and
 // at other gateways, the next one included.
 func (f *Fleet) turnWait(service string, waiting int, r RunTimes) time.Duration {
-	if r.Whole <= 0 {
+	if r.Total <= 0 {
 		return 0
 	}
 	decode := group{service, registry.Decode}
@@ -90,5 +90,5 @@
 	// Of a large group this gateway knows a part.
 	known := len(f.groups[decode]) + f.hidden[decode]
 	all := float64(runs) * float64(max(f.sizes[decode], known)) / float64(known)
-	return time.Duration(float64(waiting+1) / all * float64(r.Whole))
+	return time.Duration(float64(waiting+1) / all * float64(r.Total))
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -9,7 +9,7 @@
 )
 
 // Waiting is a request that waits for an engine with room.
-type Waiting struct {
+type QueuedRequest struct {
 	Priority int
 	Work     Work
 	Engine   *route.Engine
@@ -20,7 +20,7 @@
 // those of organisations that keep to their share, and of these in the order in which they
 // came.
 type Queue struct {
-	list []*Waiting
+	list []*QueuedRequest
 }
 
 // Len returns the number of requests that wait.
@@ -28,7 +28,7 @@
 
 // Waiting returns the number of requests to a service that wait, and the priority of the most
 // urgent one.
-func (q *Queue) Waiting(service string) (n, priority int) {
+func (q *Queue) CountWaiting(service string) (n, priority int) {
 	for _, w := range q.list {
 		if w.Work.Service != service {
 			continue
@@ -42,12 +42,12 @@
 }
 
 // Add puts a request into the queue.
-func (q *Queue) Add(w *Waiting) {
-	at, _ := slices.BinarySearchFunc(q.list, w, func(a, b *Waiting) int {
+func (q *Queue) Add(w *QueuedRequest) {
+	at, _ := slices.BinarySearchFunc(q.list, w, func(a, b *QueuedRequest) int {
 		switch {
 		case a.Priority != b.Priority:
 			return cmp.Compare(a.Priority, b.Priority)
-		case a.Work.Beyond && !b.Work.Beyond:
+		case a.Work.OverShare && !b.Work.OverShare:
 			return 1
 		}
 		return -1
@@ -56,23 +56,23 @@
 }
 
 // Remove takes a request out of the queue, if it is there.
-func (q *Queue) Remove(w *Waiting) {
-	q.list = slices.DeleteFunc(q.list, func(o *Waiting) bool { return o == w })
+func (q *Queue) Remove(w *QueuedRequest) {
+	q.list = slices.DeleteFunc(q.list, func(o *QueuedRequest) bool { return o == w })
 }
 
 // Serve books engines for requests that wait, as long as the first of the queue finds
 // room: one that does not holds up those behind it, so that a large prompt is not passed
 // over for ever. One for which there is room, but only where it has been before, holds up
 // nobody: what it waits for is another engine. It calls placed for each.
-func (f *Fleet) Serve(now time.Time, q *Queue, placed func(w *Waiting, p Pair)) {
+func (f *Fleet) ServeQueue(now time.Time, q *Queue, placed func(w *QueuedRequest, p Pair)) {
 	for at := 0; at < len(q.list); {
 		w := q.list[at]
-		p, ok := f.Pair(now, w.Work, w.Engine, w.Avoid)
+		p, ok := f.ChoosePair(now, w.Work, w.Engine, w.Avoid)
 		if !ok {
 			if len(w.Avoid) == 0 {
 				return
 			}
-			if _, room := f.Pair(now, w.Work, w.Engine, nil); !room {
+			if _, room := f.ChoosePair(now, w.Work, w.Engine, nil); !room {
 				return
 			}
 			at++
@@ -80,10 +80,10 @@
 		}
 		q.list = slices.Delete(q.list, at, at+1)
 		f.Reserve(p.Decode.ID, w.Work)
-		f.StartRead(p.Reader().ID, w.Work)
-		f.Sent(now, p.Decode.ID)
+		f.StartPrefill(p.PrefillServer().ID, w.Work)
+		f.NoteSent(now, p.Decode.ID)
 		if p.Prefill != nil {
-			f.Sent(now, p.Prefill.ID)
+			f.NoteSent(now, p.Prefill.ID)
 		}
 		placed(w, p)
 	}
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -43,12 +43,12 @@
 	Prefill, Decode *Server
 	// Wait is the expected time until the prompt has been read, Ahead the tokens that
 	// are to be read until then, its own included.
-	Wait  time.Duration
-	Ahead int
+	PrefillTime  time.Duration
+	QueuedTokens int
 }
 
 // Reader is the engine that reads the prompt.
-func (p Pair) Reader() *Server {
+func (p Pair) PrefillServer() *Server {
 	if p.Prefill != nil {
 		return p.Prefill
 	}
@@ -57,7 +57,7 @@
 
 // Pair chooses a prefill and a decode engine together. It returns false if no
 // decode engine has room, or if none would have read the prompt in time.
-func (f *Fleet) Pair(now time.Time, w Work, e *route.Engine, avoid Avoid) (Pair, bool) {
+func (f *Fleet) ChoosePair(now time.Time, w Work, e *route.Engine, avoid Avoid) (Pair, bool) {
 	prefill := map[string]candidate{}
 	decode := map[string]candidate{}
 	var alone candidate
@@ -88,9 +88,9 @@
 	if out.Decode == nil {
 		return Pair{}, false
 	}
-	out.Wait = milliseconds(f.readTime(now, out.Reader(), w))
-	out.Ahead = out.Reader().ahead(w)
-	return out, w.Within <= 0 || out.Wait <= w.Within
+	out.PrefillTime = milliseconds(f.readTime(now, out.PrefillServer(), w))
+	out.QueuedTokens = out.PrefillServer().ahead(w)
+	return out, w.MaxPrefillTime <= 0 || out.PrefillTime <= w.MaxPrefillTime
 }
 
 // together chooses the prefill and the decode engine that cost least; of several the first by
@@ -158,7 +158,7 @@
 func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
 // NoteRead takes how long a prefill engine took to read some tokens.
-func (f *Fleet) NoteRead(now time.Time, id string, took time.Duration, tokens int) {
+func (f *Fleet) NotePrefill(now time.Time, id string, took time.Duration, tokens int) {
 	s := f.servers[id]
 	if s == nil || took <= 0 || tokens <= 0 {
 		return
@@ -185,14 +185,14 @@
 }
 
 // StartRead books a prompt at the engine that reads it.
-func (f *Fleet) StartRead(id string, w Work) {
+func (f *Fleet) StartPrefill(id string, w Work) {
 	if s := f.servers[id]; s != nil {
 		s.Own.Prefill += w.unread(id)
 	}
 }
 
 // EndRead takes back what StartRead has booked.
-func (f *Fleet) EndRead(id string, w Work) {
+func (f *Fleet) EndPrefill(id string, w Work) {
 	if s := f.servers[id]; s != nil {
 		s.Own.Prefill -= w.unread(id)
 	}
--- a/dispatch/returns.go
+++ b/dispatch/returns.go
@@ -22,7 +22,7 @@
 // ReturnAfter returns how long a caller that finds no room stays away. Run is the mean
 // time of a run of late, zero if none is known; read is the least time in which the
 // caller's prompt would be read; draw is evenly spread in [0, 1).
-func ReturnAfter(run, read time.Duration, draw float64) time.Duration {
+func RetryAfter(run, read time.Duration, draw float64) time.Duration {
 	if run <= 0 {
 		run = firstRunTime
 	}
--- a/dispatch/ruled.go
+++ b/dispatch/ruled.go
@@ -35,14 +35,14 @@
 	// RuleMemory: its runs would fill its memory before their end.
 	RuleMemory Rule = "memory"
 	// RuleTurn: it has room, and another gateway's request is to have it.
-	RuleTurn Rule = "turn"
+	RuleOtherGateway Rule = "turn"
 	// RuleLateRead: a decode engine has room, and no engine would read the prompt in
 	// time.
-	RuleLateRead Rule = "late read"
+	RuleLatePrefill Rule = "late read"
 )
 
 // Ruled tells why a request has not been placed, for the log.
-type Ruled struct {
+type Exclusion struct {
 	// Rule is what decided: that which keeps the request from the engines that come
 	// closest to taking it.
 	Rule Rule
@@ -51,7 +51,7 @@
 	Engines int
 	Count   map[Rule]int
 	// Read is the least time in which the prompt would be read.
-	Read time.Duration
+	MinPrefillTime time.Duration
 	// Queued is the number of requests that wait at other gateways.
 	Queued int
 	// Known is the number of gateways whose reservations are known, Gateways
@@ -60,9 +60,9 @@
 }
 
 // Ruled tells what keeps a request from being placed.
-func (f *Fleet) Ruled(now time.Time, w Work, e *route.Engine) Ruled {
-	out := Ruled{
-		Rule: RuleNoEngine, Count: map[Rule]int{}, Read: f.leastRead(now, w),
+func (f *Fleet) Exclusion(now time.Time, w Work, e *route.Engine) Exclusion {
+	out := Exclusion{
+		Rule: RuleNoEngine, Count: map[Rule]int{}, MinPrefillTime: f.leastRead(now, w),
 		Queued: f.Others.Queued, Known: f.Others.Known, Gateways: f.Others.Gateways,
 	}
 	f.visit(f.group(now, w.Service, registry.Decode), mostChoices, func(s *Server) {
@@ -79,7 +79,7 @@
 			out.Count[RulePause]++
 		}
 	}
-	for _, r := range []Rule{RuleRegion, RuleEvacuated, RuleLeaving, RuleCold, RulePause, RuleLimited, RuleBlocked, RuleSlots, RuleMemoryNow, RuleMemory, RuleTurn, RuleLateRead} {
+	for _, r := range []Rule{RuleRegion, RuleEvacuated, RuleLeaving, RuleCold, RulePause, RuleLimited, RuleBlocked, RuleSlots, RuleMemoryNow, RuleMemory, RuleOtherGateway, RuleLatePrefill} {
 		if out.Count[r] > 0 {
 			out.Rule = r
 		}
@@ -108,7 +108,7 @@
 		return lacks
 	}
 	if !f.turn(now, s, w, e) {
-		return RuleTurn
+		return RuleOtherGateway
 	}
-	return RuleLateRead
+	return RuleLatePrefill
 }
--- a/dispatch/selfreport.go
+++ b/dispatch/selfreport.go
@@ -32,7 +32,7 @@
 		if r.Limit != nil {
 			o.Limited, o.Rate = true, *r.Limit
 		}
-		if change, ok := f.NoteLimit(now, id, o); ok {
+		if change, ok := f.ObserveLimit(now, id, o); ok {
 			out = append(out, Change{Server: *s, Field: selfreport.Limit, Limit: change})
 		}
 	}
@@ -50,7 +50,7 @@
 
 // notePause takes that a server wants no requests for a time; false if that is no news.
 func (f *Fleet) notePause(s *Server, r selfreport.Report) bool {
-	spread := selfreport.ReturnSpread(f.Sharing(s.Service, s.Role), r.RetryAfter)
+	spread := selfreport.ReturnSpread(f.GatewaysPerServer(s.Service, s.Role), r.RetryAfter)
 	late := time.Duration(float64(spread) * float64(s.rank) / math.MaxUint64)
 	news := s.pause.Extend(r.Received, r.RetryAfter, late)
 	f.groups = nil
@@ -70,7 +70,7 @@
 
 // UntoldLeaving returns the servers that control has to hear of, since they have said to this
 // gateway that they leave; they count as told.
-func (f *Fleet) UntoldLeaving() []registry.Server {
+func (f *Fleet) UnsentLeaving() []registry.Server {
 	var out []registry.Server
 	for _, s := range f.servers {
 		if s.saidLeaving && !s.toldLeaving {
@@ -82,7 +82,7 @@
 }
 
 // RetellLeaving has another replica of control told of the servers that leave.
-func (f *Fleet) RetellLeaving() {
+func (f *Fleet) ResendLeaving() {
 	for _, s := range f.servers {
 		s.toldLeaving = false
 	}
@@ -90,7 +90,7 @@
 
 // MaySend tells whether a request or call may go to a server, which may want none now. One that
 // frees something may sometimes.
-func (f *Fleet) MaySend(now time.Time, id string, frees bool) bool {
+func (f *Fleet) AdmitCall(now time.Time, id string, frees bool) bool {
 	s := f.servers[id]
 	return s == nil || s.pause.AdmitCall(now, frees)
 }
@@ -103,10 +103,10 @@
 
 // PauseLeft returns how long, from a time on, the gateway stays away from the server by what was
 // known when s was taken.
-func (s *Server) PauseLeft(now time.Time) time.Duration { return s.pause.Remaining(now) }
+func (s *Server) PauseRemaining(now time.Time) time.Duration { return s.pause.Remaining(now) }
 
 // PauseLeft returns how long this gateway still stays away from a server; zero if it does not.
-func (f *Fleet) PauseLeft(now time.Time, id string) time.Duration {
+func (f *Fleet) PauseRemaining(now time.Time, id string) time.Duration {
 	if s := f.servers[id]; s != nil {
 		return s.pause.Remaining(now)
 	}
@@ -114,7 +114,7 @@
 }
 
 // Pauses returns the number of servers that want no requests, or did until just before.
-func (f *Fleet) Pauses(now time.Time) int {
+func (f *Fleet) CountPaused(now time.Time) int {
 	n := 0
 	for _, s := range f.servers {
 		if !s.gone && (s.pause.Remaining(now) > 0 || s.pause.Ramping(now)) {
@@ -127,7 +127,7 @@
 // AwaitsPause returns how long it takes until the first server that may serve a request is back
 // from a pause; false if some server wants no pause, or there is none at all. One that is back, and
 // takes few requests at first, counts as back at once.
-func (f *Fleet) AwaitsPause(now time.Time, w Work, role string) (time.Duration, bool) {
+func (f *Fleet) MinPauseRemaining(now time.Time, w Work, role string) (time.Duration, bool) {
 	least, found := time.Duration(math.MaxInt64), false
 	for _, s := range f.servers {
 		if s.Service != w.Service || s.Role != role || !s.inService(now) || !w.permits(s) {
--- a/dispatch/turn.go
+++ b/dispatch/turn.go
@@ -34,7 +34,7 @@
 // places is the number of requests like one for which an engine has room.
 func (f *Fleet) places(s *Server, w Work, e *route.Engine) float64 {
 	memory := float64(e.KVTokens)
-	end := (MemoryUse*memory - float64(f.used(s))) / float64(max(w.tokens(), 1))
+	end := (MemoryOvercommit*memory - float64(f.used(s))) / float64(max(w.tokens(), 1))
 	now := (fullMark*memory - float64(f.held(s))) / float64(max(w.held(), 1))
 	return max(min(end, now), 1)
 }
--- a/gateway/await_server.go
+++ b/gateway/await_server.go
@@ -32,10 +32,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	if f.view.OnlyTokensLack(now, q.work, q.tried) {
+	if f.view.LacksOnlyToken(now, q.work, q.tried) {
 		return lackToken, f.limited.wait(q.service.Name)
 	}
-	if left, ok := f.view.AwaitsPause(now, q.work, ""); ok {
+	if left, ok := f.view.MinPauseRemaining(now, q.work, ""); ok {
 		return lackPause, left
 	}
 	return lackServer, 0
@@ -95,7 +95,7 @@
 func (f *fleet) servePlain() {
 	now := f.clock.Now()
 	f.limited.waiting = slices.DeleteFunc(f.limited.waiting, func(w *serverWaiter) bool {
-		s := f.view.Plain(now, w.work, w.avoid)
+		s := f.view.ChoosePlain(now, w.work, w.avoid)
 		if s == nil {
 			return false
 		}
@@ -107,7 +107,7 @@
 // begin counts a request at a plain server that was chosen. Callers hold the lock.
 func (f *fleet) begin(now time.Time, s *dispatch.Server) dispatch.Server {
 	s.Open++
-	f.view.Sent(now, s.ID)
+	f.view.NoteSent(now, s.ID)
 	return *s
 }
 
--- a/gateway/decode.go
+++ b/gateway/decode.go
@@ -64,14 +64,14 @@
 	n.decodes++
 	if res, ok := g.turnedAway(q, s, a); ok {
 		if res.kind == notRun {
-			n.handover.Refused = append(n.handover.Refused, s.ID)
+			n.handover.RefusedBy = append(n.handover.RefusedBy, s.ID)
 		}
 		g.fleet.note(s.ID, outcomeOf(ctx, res), 0)
 		g.noteSend(ctx, q, s, res, g.clock.Since(started))
 		return res
 	}
 	n.kv.Handle, n.hold = "", "" // taken
-	n.handover.Taken = s.ID
+	n.handover.AcceptedBy = s.ID
 	g.fleet.noteHandover(n.handover)
 	q.sends++
 	g.ran(q)
@@ -81,7 +81,7 @@
 	n.mover.stopped = false
 	s, a, err = n.relay(ctx, s, a)
 	if err == nil {
-		g.fleet.note(s.ID, dispatch.Good, g.clock.Since(started))
+		g.fleet.note(s.ID, dispatch.Success, g.clock.Since(started))
 		g.contents.ran(q)
 		n.done(s, a.Status)
 		return result{kind: answered, status: a.Status}
@@ -116,7 +116,7 @@
 
 // failedAnswer takes an answer of an engine that is no stream.
 func (n *generation) failedAnswer(ctx context.Context, s *dispatch.Server, a *backend.Answer) result {
-	n.g.fleet.note(s.ID, dispatch.Bad, 0)
+	n.g.fleet.note(s.ID, dispatch.Failure, 0)
 	body, err := readWhole(ctx, n.q.memory, a)
 	if err != nil || a.Status < http.StatusMultipleChoices || n.stream.started {
 		return result{kind: broken, err: err}
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -24,7 +24,7 @@
 	runTimes map[string]dispatch.RunTimes
 	// queue are the requests that wait for room, placed where each gets its engines.
 	queue   dispatch.Queue
-	placed  map[*dispatch.Waiting]chan dispatch.Pair
+	placed  map[*dispatch.QueuedRequest]chan dispatch.Pair
 	telling telling
 	limited limitedServers
 	paused  pausedServers
@@ -38,7 +38,7 @@
 	}
 	view := dispatch.NewFleet(name, zone)
 	view.SetRegions(regions)
-	return &fleet{clock: c, view: view, bounds: bounds, budgets: map[string]*dispatch.Budget{}, runTimes: map[string]dispatch.RunTimes{}, paused: pausedServers{told: map[string]bool{}}, placed: map[*dispatch.Waiting]chan dispatch.Pair{}}
+	return &fleet{clock: c, view: view, bounds: bounds, budgets: map[string]*dispatch.Budget{}, runTimes: map[string]dispatch.RunTimes{}, paused: pausedServers{told: map[string]bool{}}, placed: map[*dispatch.QueuedRequest]chan dispatch.Pair{}}
 }
 
 // budget returns the retry budget of a service. Callers hold the lock.
@@ -56,7 +56,7 @@
 func (f *fleet) comeBack(service string, read time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return dispatch.ReturnAfter(f.runTimes[service].Whole, read, rand.Float64())
+	return dispatch.RetryAfter(f.runTimes[service].Total, read, rand.Float64())
 }
 
 // update takes reports of servers, which of them have reported themselves with
@@ -67,10 +67,10 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	ended := f.view.Update(now, m.List)
-	f.view.Heard(now.Add(-m.For), alive)
-	f.limited.some.Store(f.view.Limited(now) > 0)
+	f.view.NoteHeartbeats(now.Add(-m.For), alive)
+	f.limited.some.Store(f.view.CountLimited(now) > 0)
 	for _, g := range m.Sizes {
-		f.view.SetSize(g.Service, g.Role, g.Size)
+		f.view.SetGroupSize(g.Service, g.Role, g.Size)
 	}
 	f.serve()
 	if f.told != nil {
@@ -94,7 +94,7 @@
 func (f *fleet) ended(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Ended(id)
+	return f.view.Replaced(id)
 }
 
 // away takes which engines are changing their role.
@@ -105,7 +105,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range list {
-		f.view.Away(f.clock.Now(), a.Server, a.Role, a.For)
+		f.view.BeginRoleChange(f.clock.Now(), a.Server, a.Role, a.For)
 	}
 }
 
@@ -113,7 +113,7 @@
 func (f *fleet) evacuate(zones []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.Evacuate(f.clock.Now(), zones)
+	f.view.SetEvacuated(f.clock.Now(), zones)
 	f.serve()
 }
 
@@ -122,13 +122,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.Sweep(now)
-	f.limited.some.Store(f.view.Limited(now) > 0)
+	f.limited.some.Store(f.view.CountLimited(now) > 0)
 	f.serve()
 	return f.endPauses(now)
 }
 
 // share takes what is known of the other gateways.
-func (f *fleet) share(others dispatch.Others) {
+func (f *fleet) share(others dispatch.OtherGateways) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.SetOthers(f.clock.Now(), others)
@@ -141,7 +141,7 @@
 	defer f.mu.Unlock()
 	f.telling.changed = true
 	f.limited.retell(f.view)
-	f.view.RetellLeaving()
+	f.view.ResendLeaving()
 }
 
 func (f *fleet) list() []*dispatch.Server {
@@ -162,8 +162,8 @@
 	defer f.mu.Unlock()
 	var out []dispatch.Server
 	now := f.clock.Now()
-	for _, s := range f.view.Usable(now, service) {
-		if f.view.Near(s) && !f.view.IsLimited(now, s) {
+	for _, s := range f.view.EligibleServers(now, service) {
+		if f.view.InRegion(s) && !f.view.IsLimited(now, s) {
 			out = append(out, *s)
 		}
 	}
@@ -174,7 +174,7 @@
 func (f *fleet) plain(w dispatch.Work, avoid dispatch.Avoid) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.view.Plain(f.clock.Now(), w, avoid)
+	s := f.view.ChoosePlain(f.clock.Now(), w, avoid)
 	if s == nil {
 		return dispatch.Server{}, false
 	}
@@ -185,7 +185,7 @@
 func (f *fleet) listed(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Listed(f.clock.Now(), id)
+	return f.view.Available(f.clock.Now(), id)
 }
 
 // done ends a request that plain has counted.
@@ -211,9 +211,9 @@
 // noteLocked tells how a request went; one that failed is told to the other gateways
 // at once. Callers hold the lock.
 func (f *fleet) noteLocked(id string, o dispatch.Outcome, took time.Duration) {
-	f.view.Note(f.clock.Now(), id, o, took)
+	f.view.NoteOutcome(f.clock.Now(), id, o, took)
 	f.telling.noted = true
-	if o == dispatch.Bad || o == dispatch.Unreached || o == dispatch.Busy && f.view.Paused(f.clock.Now(), id) {
+	if o == dispatch.Failure || o == dispatch.Unreachable || o == dispatch.Busy && f.view.Paused(f.clock.Now(), id) {
 		f.telling.changed = true
 	}
 }
@@ -228,7 +228,7 @@
 func (f *fleet) gone(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.Gone(id)
+	f.view.MarkGone(id)
 }
 
 // request counts a request to a service.
@@ -236,8 +236,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	f.budget(service).Request(now)
-	f.view.Request(now, service)
+	f.budget(service).CountRequest(now)
+	f.view.CountRequest(now, service)
 }
 
 // retry takes further sends from the budget of a service.
@@ -255,24 +255,24 @@
 }
 
 // ruled tells what rules engines out for a request now.
-func (f *fleet) ruled(w dispatch.Work, e *route.Engine) dispatch.Ruled {
+func (f *fleet) ruled(w dispatch.Work, e *route.Engine) dispatch.Exclusion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Ruled(f.clock.Now(), w, e)
+	return f.view.Exclusion(f.clock.Now(), w, e)
 }
 
 // noteRead tells how long an engine took to read a prompt.
 func (f *fleet) noteRead(id string, took time.Duration, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.NoteRead(f.clock.Now(), id, took, tokens)
+	f.view.NotePrefill(f.clock.Now(), id, took, tokens)
 }
 
 // endRead takes back the booking at the engine that reads a prompt.
 func (f *fleet) endRead(id string, w dispatch.Work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.EndRead(id, w)
+	f.view.EndPrefill(id, w)
 	f.telling.changed = true
 	f.serve()
 }
@@ -288,13 +288,13 @@
 
 // grow books what a run at a decode engine has made. It returns the work as it
 // is booked now, and why the run should go on elsewhere, if it should.
-func (f *fleet) grow(id string, w dispatch.Work, e *route.Engine, made int) (dispatch.Work, dispatch.Reason) {
+func (f *fleet) grow(id string, w dispatch.Work, e *route.Engine, made int) (dispatch.Work, dispatch.MigrationReason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, longer := f.view.Grow(id, w, made)
 	f.telling.grown = true
 	f.telling.changed = f.telling.changed || longer
-	return w, f.view.Leave(f.clock.Now(), id, e, rand.Float64())
+	return w, f.view.MigrationReason(f.clock.Now(), id, e, rand.Float64())
 }
 
 // migrationTarget books an engine that a run can move to.
@@ -311,7 +311,7 @@
 		return dispatch.Server{}, false
 	}
 	f.view.Reserve(s.ID, w)
-	f.view.Sent(f.clock.Now(), s.ID)
+	f.view.NoteSent(f.clock.Now(), s.ID)
 	f.telling.changed = true
 	return *s, true
 }
@@ -321,7 +321,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range list {
-		f.view.Lease(f.clock.Now(), l.Server, l.Most, l.For)
+		f.view.RenewLease(f.clock.Now(), l.Server, l.Most, l.For)
 	}
 	f.serve()
 }
@@ -330,11 +330,11 @@
 func (f *fleet) setCold(services []route.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]dispatch.ColdServers{}
+	out := map[string]dispatch.ColdSettings{}
 	for _, s := range services {
-		out[s.Name] = dispatch.ColdServers{Bounded: s.ColdRate > 0, For: s.ColdStart}
+		out[s.Name] = dispatch.ColdSettings{Bounded: s.ColdRate > 0, Duration: s.ColdStart}
 	}
-	f.view.SetCold(out)
+	f.view.SetColdSettings(out)
 }
 
 // noteConnect takes how long a connection to a server took to open.
@@ -348,7 +348,7 @@
 func (f *fleet) trip(zone string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Trip(zone)
+	return f.view.RoundTrip(zone)
 }
 
 // bearsLittle tells whether a server bears fewer requests than usual now.
@@ -382,12 +382,12 @@
 func (f *fleet) patience(w dispatch.Work, within time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Patience(f.clock.Now(), w, within, f.queue.Len(), f.runTimes[w.Service])
+	return f.view.QueueTimeout(f.clock.Now(), w, within, f.queue.Len(), f.runTimes[w.Service])
 }
 
 // sharing returns the number of gateways that work with a server.
 func (f *fleet) sharing(s *dispatch.Server) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Sharing(s.Service, s.Role)
+	return f.view.GatewaysPerServer(s.Service, s.Role)
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -185,20 +185,20 @@
 	switch r.kind {
 	case answered:
 		if r.status >= http.StatusInternalServerError {
-			return dispatch.Bad
+			return dispatch.Failure
 		}
-		return dispatch.Good
+		return dispatch.Success
 	case notRun:
 		return dispatch.Busy
 	case notSent:
 		if backend.TellsNothing(r.err) {
 			return dispatch.Neutral
 		}
-		return dispatch.Unreached
+		return dispatch.Unreachable
 	case misdirected:
 		return dispatch.Neutral
 	}
-	return dispatch.Bad
+	return dispatch.Failure
 }
 
 // busyRetry is when a caller should come back to a plain service that is full:
@@ -305,7 +305,7 @@
 	}
 	metric.Sends.WithLabelValues(q.service.Name, r.kind.String()).Inc()
 	event.SendFailed.Log(g.log, "id", q.id, "server", s.StableName(), "phase", s.Role, "kind", r.kind.String(), "status", r.status, "ms", took.Milliseconds(),
-		"pause_ms", s.PauseLeft(g.clock.Now().Add(-took)).Milliseconds(), "error", r.err)
+		"pause_ms", s.PauseRemaining(g.clock.Now().Add(-took)).Milliseconds(), "error", r.err)
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 	case r.kind == broken:
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -66,7 +66,7 @@
 			break
 		}
 		if round > 0 || q.resumed {
-			q.work.Kept = g.findKept(q)
+			q.work.Cached = g.findKept(q)
 		}
 		if n.stream.started {
 			event.StreamGoesOn.Log(g.log, "id", q.id, "last", n.stream.order.Last(), "resumed", q.resumed, "moved", n.mover.count, "error", last.err)
@@ -113,18 +113,18 @@
 		if left, ok := n.g.fleet.awaitsPause(q.work, registry.Decode); ok && left > n.g.clock.Until(until) {
 			return false
 		}
-		wait := &dispatch.Waiting{Priority: q.organisation.PriorityFor(q.route), Work: q.work, Engine: q.service.Engine, Avoid: q.tried}
-		wait.Work.Beyond = n.g.limits.beyond(q)
+		wait := &dispatch.QueuedRequest{Priority: q.organisation.PriorityFor(q.route), Work: q.work, Engine: q.service.Engine, Avoid: q.tried}
+		wait.Work.OverShare = n.g.limits.beyond(q)
 		if !n.stream.started && q.route.Target > 0 {
-			wait.Work.Within = time.Duration(readShare*float64(q.route.Target)) - n.g.clock.Since(q.arrived)
+			wait.Work.MaxPrefillTime = time.Duration(readShare*float64(q.route.Target)) - n.g.clock.Since(q.arrived)
 		}
 		pair, ok := n.g.fleet.place(ctx, wait, max(n.g.clock.Until(until), 0))
 		if !ok {
 			return false
 		}
-		n.pair, n.booked, n.reader = pair, pair.Decode.ID, pair.Reader().ID
+		n.pair, n.booked, n.reader = pair, pair.Decode.ID, pair.PrefillServer().ID
 		n.placedAt = n.g.clock.Now()
-		if kept := q.work.Kept[n.reader]; kept > 0 {
+		if kept := q.work.Cached[n.reader]; kept > 0 {
 			metric.KeptTokens.WithLabelValues(q.service.Name).Add(float64(kept))
 		}
 		if n.takeHold(ctx) {
@@ -169,11 +169,11 @@
 	case notRun, notSent, misdirected:
 		r = n.elsewhere(ctx, r)
 	}
-	if n.handover.Taken == "" {
+	if n.handover.AcceptedBy == "" {
 		n.g.fleet.noteHandover(n.handover)
 	}
 	if r.kind != answered {
-		n.noteWasted(wasteCause(ctx, r, n.handover.Taken != ""))
+		n.noteWasted(wasteCause(ctx, r, n.handover.AcceptedBy != ""))
 	}
 	return r
 }
@@ -199,7 +199,7 @@
 
 func (n *generation) noteWasted(cause string) {
 	metric.WastedTokens.WithLabelValues(n.q.service.Name, cause).Add(float64(n.kv.Tokens))
-	event.PromptWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Made,
+	event.PromptWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Generated,
 		"prefill", n.kvFrom.StableName(), "decode", n.pair.Decode.StableName())
 }
 
@@ -252,9 +252,9 @@
 	if !q.mayHaveRun {
 		r := g.fleet.ruled(q.work, q.service.Engine)
 		event.NoRoom.Log(g.log, "id", q.id, "rule", string(r.Rule), "prompt", q.work.Prompt, "expected", q.work.Expected, "engines", r.Engines,
-			"ruled", r.Count, "read_ms", r.Read.Milliseconds(), "queued", r.Queued, "gateways_known", r.Known, "gateways", r.Gateways,
+			"ruled", r.Count, "read_ms", r.MinPrefillTime.Milliseconds(), "queued", r.Queued, "gateways_known", r.Known, "gateways", r.Gateways,
 			"waited_ms", g.clock.Since(q.arrived).Milliseconds(), "prefills", n.prefills, "decodes", n.decodes)
-		after := g.fleet.comeBack(q.service.Name, r.Read)
+		after := g.fleet.comeBack(q.service.Name, r.MinPrefillTime)
 		if left, ok := g.fleet.awaitsPause(q.work, registry.Decode); ok {
 			after = max(after, spread(left))
 		}
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -41,7 +41,7 @@
 	hctx, cancel := n.g.outlive(ctx, holdTimeout+holdTrips*n.g.fleet.trip(s.Zone))
 	defer cancel()
 	started := n.g.clock.Now()
-	r := n.callTo(s, p.TakeHold(n.q.work.Prompt, min(n.pair.Wait+holdMargin, engine.HoldMost)))
+	r := n.callTo(s, p.TakeHold(n.q.work.Prompt, min(n.pair.PrefillTime+holdMargin, engine.HoldMost)))
 	res, body := n.g.exchange(hctx, n.q, s, r)
 	if res.kind == answered && res.status == http.StatusOK {
 		hold, err := p.ParseHold(body)
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -57,7 +57,7 @@
 	}
 	out := map[string]int{}
 	for id, kept := range k.tokens {
-		if tokens := dispatch.KeptTokens(q.parts, kept); tokens > 0 {
+		if tokens := dispatch.CachedTokens(q.parts, kept); tokens > 0 {
 			out[id] = tokens
 		}
 	}
--- a/gateway/limited.go
+++ b/gateway/limited.go
@@ -31,7 +31,7 @@
 // retell has another replica told of everything.
 func (s *limitedServers) retell(view *dispatch.Fleet) {
 	s.got, s.asked, s.supply = nil, nil, nil
-	view.RetellLimits()
+	view.ResendLimits()
 }
 
 // By whom a gateway is told of a limit, for the log.
--- a/gateway/look.go
+++ b/gateway/look.go
@@ -28,7 +28,7 @@
 // time after it was sent. A connection that broke alone, as by a reset on the way, says
 // nothing of the request.
 func (g *Gateway) lookAfter(q *request, s *dispatch.Server, ran time.Duration) {
-	made, broke := q.work.Made, g.contents.note(q, s.ID, ran)
+	made, broke := q.work.Generated, g.contents.note(q, s.ID, ran)
 	done := make(chan struct{})
 	q.looked = done
 	g.wg.Go(func() {
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -51,7 +51,7 @@
 // it goes on, then it is stopped, the rest is copied, and the request is sent to
 // the other engine with the name of the copy. For the engines it stays one run.
 type migration struct {
-	reason   dispatch.Reason
+	reason   dispatch.MigrationReason
 	from, to dispatch.Server
 	// work is what is booked at the engine to.
 	work    dispatch.Work
@@ -89,13 +89,13 @@
 
 // moveOn starts a migration, unless one is under way or was not possible just
 // before.
-func (n *generation) moveOn(ctx context.Context, reason dispatch.Reason) {
+func (n *generation) moveOn(ctx context.Context, reason dispatch.MigrationReason) {
 	engine, now := n.q.service.Engine, n.g.clock.Now()
 	if n.g.cfg.Protocol.CopyRun == nil || !engine.Migrates || !n.stream.canMove() || n.mover.current != nil || now.Before(n.mover.notBefore) {
 		return
 	}
 	n.mover.notBefore = now.Add(moveAgain)
-	if n.q.work.Expected-n.q.work.Made < leastRest*engine.EventTokens {
+	if n.q.work.Expected-n.q.work.Generated < leastRest*engine.EventTokens {
 		return
 	}
 	if !n.g.keepToRegions(n.q) {
@@ -260,7 +260,7 @@
 		return nil, begun, err
 	}
 	if res, ok := n.g.turnedAway(n.q, s, a); ok {
-		n.g.fleet.noteHandover(dispatch.Handover{Refused: []string{s.ID}})
+		n.g.fleet.noteHandover(dispatch.Handover{RefusedBy: []string{s.ID}})
 		return nil, false, fmt.Errorf("gateway: status %d to a copied run", res.status)
 	}
 	if !n.g.isStream(a) {
@@ -273,7 +273,7 @@
 // settle books a run where it has moved to.
 func (n *generation) settle(m *migration) {
 	n.g.fleet.release(m.from.ID, n.q.work)
-	n.q.work, _ = n.g.fleet.grow(m.to.ID, m.work, n.q.service.Engine, n.q.work.Made)
+	n.q.work, _ = n.g.fleet.grow(m.to.ID, m.work, n.q.service.Engine, n.q.work.Generated)
 	n.booked, n.pair.Decode = m.to.ID, &m.to
 	n.mover.count++
 }
@@ -289,5 +289,5 @@
 func (n *generation) noteMigration(m *migration, outcome string, err error) {
 	metric.Migrations.WithLabelValues(n.q.service.Name, string(m.reason), outcome).Inc()
 	event.RunMigrated.Log(n.g.log, "id", n.q.id, "reason", string(m.reason), "from", m.from.StableName(), "to", m.to.StableName(), "outcome", outcome,
-		"stopped", m.stopped, "made", n.q.work.Made, "last", n.stream.order.Last(), "engine_made", m.kv.Made, "ms", n.g.clock.Since(m.started).Milliseconds(), "error", err)
+		"stopped", m.stopped, "made", n.q.work.Generated, "last", n.stream.order.Last(), "engine_made", m.kv.Made, "ms", n.g.clock.Since(m.started).Milliseconds(), "error", err)
 }
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -16,7 +16,7 @@
 	r := n.sendTo(s)
 	r.Header.Set(h.Role, registry.Prefill)
 	n.resumeAt(r.Header)
-	limit := 2*n.pair.Wait + time.Second
+	limit := 2*n.pair.PrefillTime + time.Second
 	pctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	res, body := g.exchange(pctx, n.q, s, r)
@@ -32,11 +32,11 @@
 	}
 	kv, err := g.cfg.Protocol.ParseKV(body)
 	if err != nil {
-		g.fleet.note(s.ID, dispatch.Bad, 0)
+		g.fleet.note(s.ID, dispatch.Failure, 0)
 		return result{kind: broken, err: err}
 	}
-	g.fleet.note(s.ID, dispatch.Good, g.clock.Since(started))
-	g.fleet.noteRead(s.ID, g.clock.Since(started), n.pair.Ahead)
+	g.fleet.note(s.ID, dispatch.Success, g.clock.Since(started))
+	g.fleet.noteRead(s.ID, g.clock.Since(started), n.pair.QueuedTokens)
 	n.kv, n.kvFrom, n.kvAt = kv, *s, g.clock.Now()
 	n.handover = dispatch.Handover{Prefill: s.ID}
 	return res
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -10,7 +10,7 @@
 
 // place finds a prefill and a decode engine and books both. It waits for room
 // until the context ends or the limit is over.
-func (f *fleet) place(ctx context.Context, w *dispatch.Waiting, limit time.Duration) (dispatch.Pair, bool) {
+func (f *fleet) place(ctx context.Context, w *dispatch.QueuedRequest, limit time.Duration) (dispatch.Pair, bool) {
 	placed := make(chan dispatch.Pair, 1)
 	f.mu.Lock()
 	f.placed[w] = placed
@@ -50,9 +50,9 @@
 // serve books engines for the requests that wait and find room. Callers hold the lock.
 func (f *fleet) serve() {
 	f.servePlain()
-	f.view.Serve(f.clock.Now(), &f.queue, func(w *dispatch.Waiting, p dispatch.Pair) {
+	f.view.ServeQueue(f.clock.Now(), &f.queue, func(w *dispatch.QueuedRequest, p dispatch.Pair) {
 		decode := *p.Decode
-		out := dispatch.Pair{Decode: &decode, Wait: p.Wait, Ahead: p.Ahead}
+		out := dispatch.Pair{Decode: &decode, PrefillTime: p.PrefillTime, QueuedTokens: p.QueuedTokens}
 		if p.Prefill != nil {
 			prefill := *p.Prefill
 			out.Prefill = &prefill
@@ -67,5 +67,5 @@
 func (f *fleet) move(w dispatch.Work, e *route.Engine, zone string, avoid dispatch.Avoid) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.reserve(f.view.Decode(f.clock.Now(), w, e, zone, avoid), w)
+	return f.reserve(f.view.ChooseDecode(f.clock.Now(), w, e, zone, avoid), w)
 }
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -92,11 +92,11 @@
 	for _, c := range changes {
 		switch c.Field {
 		case selfreport.Limit:
-			f.limited.some.Store(f.view.Limited(now) > 0)
+			f.limited.some.Store(f.view.CountLimited(now) > 0)
 		case selfreport.RetryAfter:
 			f.paused.some.Store(true)
 			f.paused.told[id] = true
-			time.AfterFunc(f.view.PauseLeft(now, id), f.wake)
+			time.AfterFunc(f.view.PauseRemaining(now, id), f.wake)
 		}
 	}
 	return changes
@@ -113,7 +113,7 @@
 func (f *fleet) endPauses(now time.Time) []dispatch.Server {
 	var out []dispatch.Server
 	for id := range f.paused.told {
-		if f.view.PauseLeft(now, id) > 0 {
+		if f.view.PauseRemaining(now, id) > 0 {
 			continue
 		}
 		delete(f.paused.told, id)
@@ -121,7 +121,7 @@
 			out = append(out, *s)
 		}
 	}
-	f.paused.some.Store(f.view.Pauses(now) > 0)
+	f.paused.some.Store(f.view.CountPaused(now) > 0)
 	return out
 }
 
@@ -132,7 +132,7 @@
 	defer f.mu.Unlock()
 	out := map[string]int64{}
 	for _, s := range f.view.List() {
-		if left := s.PauseLeft(f.clock.Now()); left > 0 {
+		if left := s.PauseRemaining(f.clock.Now()); left > 0 {
 			out[s.StableName()] = left.Milliseconds()
 		}
 	}
@@ -150,12 +150,12 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	switch {
-	case !f.view.MaySend(now, r.Server, r.Frees):
+	case !f.view.AdmitCall(now, r.Server, r.Frees):
 		return backend.ErrPaused
 	case !limited:
 	case r.Frees: // nothing may stay held for a request that has ended
-		f.view.Owe(now, r.Server)
-	case !f.view.Admit(now, r.Server):
+		f.view.OweToken(now, r.Server)
+	case !f.view.TakeToken(now, r.Server):
 		return backend.ErrLimited
 	}
 	return nil
@@ -169,7 +169,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.AwaitsPause(f.clock.Now(), w, role)
+	return f.view.MinPauseRemaining(f.clock.Now(), w, role)
 }
 
 // tellLeaving tells a replica of control which servers have said that they leave.
@@ -179,7 +179,7 @@
 	}
 	f := l.g.fleet
 	f.mu.Lock()
-	list := f.view.UntoldLeaving()
+	list := f.view.UnsentLeaving()
 	f.mu.Unlock()
 	if len(list) > 0 {
 		_ = hub.Send(&wire.Message{Servers: &wire.Servers{List: list}})
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -54,8 +54,8 @@
 // reserved. Callers hold the lock.
 func (l *links) share() {
 	gateways := l.count(l.g.clock.Now())
-	l.g.fleet.share(dispatch.Others{
-		Gateways: gateways, Known: min(1+l.others.gateways, gateways), Queued: l.others.queued, Loads: maps.Clone(l.others.loads), Seen: maps.Clone(l.others.seen),
+	l.g.fleet.share(dispatch.OtherGateways{
+		Gateways: gateways, Known: min(1+l.others.gateways, gateways), Queued: l.others.queued, Loads: maps.Clone(l.others.loads), Evidence: maps.Clone(l.others.seen),
 	})
 }
 
--- a/gateway/tell.go
+++ b/gateway/tell.go
@@ -50,7 +50,7 @@
 	}
 	f.telling = telling{at: now, queued: f.queue.Len()}
 	out := &wire.Loads{Queued: f.queue.Len()}
-	loads, seen := f.view.Loads(), f.view.Seen(now)
+	loads, seen := f.view.Loads(), f.view.Evidence(now)
 	for id, e := range seen {
 		f.telling.failures = f.telling.failures || e.Bad > 0
 		out.List = append(out.List, engineLoad(id, loads[id], e))
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -34,11 +34,11 @@
 	var changes []dispatch.LimitChange
 	for _, w := range m.Observations {
 		observed := ratelimit.Observation{Limited: w.Named, Rate: w.Rate, Sent: now.Add(-w.Sent), Received: now.Add(-w.Heard)}
-		if change, ok := f.view.TellLimit(now, w.Server, observed); ok {
+		if change, ok := f.view.ApplyLimit(now, w.Server, observed); ok {
 			changes = append(changes, change)
 		}
 	}
-	f.limited.some.Store(f.view.Limited(now) > 0)
+	f.limited.some.Store(f.view.CountLimited(now) > 0)
 	var back []wire.LimitToken
 	if hub {
 		f.limited.setSupply(m.Supply)
@@ -81,14 +81,14 @@
 		f.limited.got = map[string]int{}
 	}
 	for _, t := range tokens {
-		if service := f.view.Grant(now, t.Server, ratelimit.Token{Owner: t.Owner, Spare: t.Spare}, t.Tokens, t.For); service != "" {
+		if service := f.view.GrantTokens(now, t.Server, ratelimit.Token{Owner: t.Owner, Spare: t.Spare}, t.Tokens, t.For); service != "" {
 			f.limited.got[service] += t.Tokens
 		}
 	}
 	f.serve()
 	var out []wire.LimitToken
 	for _, t := range tokens {
-		for _, b := range f.view.Surplus(now, t.Server) {
+		for _, b := range f.view.ReleaseSurplus(now, t.Server) {
 			out = append(out, wire.LimitToken{Server: b.Server, Tokens: b.Tokens, For: b.TTL, Owner: b.Owner})
 		}
 	}
@@ -104,12 +104,12 @@
 	if knows || f.limited.touchAt.IsZero() {
 		f.limited.touchAt = now
 	}
-	f.view.Alone = now.Sub(f.limited.touchAt) >= aloneAfter // also for the next limit that is named
+	f.view.Standalone = now.Sub(f.limited.touchAt) >= aloneAfter // also for the next limit that is named
 	if !f.limited.some.Load() {
 		f.mu.Unlock()
 		return
 	}
-	f.view.ShareLimits(now)
+	f.view.SetStandaloneRates(now)
 	var m *wire.Limits
 	if knows {
 		m = f.untoldLimits(now)
@@ -124,7 +124,7 @@
 // untoldLimits returns what control has to hear of limits; nil if nothing. Callers hold the lock.
 func (f *fleet) untoldLimits(now time.Time) *wire.Limits {
 	out := &wire.Limits{}
-	for _, w := range f.view.UntoldLimits(now) {
+	for _, w := range f.view.UnsentLimits(now) {
 		out.Observations = append(out.Observations, wire.LimitObservation{
 			Server: w.Server, Named: w.Observation.Limited, Rate: w.Observation.Rate, Sent: now.Sub(w.Observation.Sent), Heard: now.Sub(w.Observation.Received),
 		})
@@ -146,9 +146,9 @@
 // Callers hold the lock.
 func (f *fleet) limitAsks(now time.Time) map[string]wire.LimitAsk {
 	out := map[string]wire.LimitAsk{}
-	for service, rate := range f.view.LimitedRates(now) {
+	for service, rate := range f.view.LimitedServiceRates(now) {
 		a := wire.LimitAsk{Service: service, Rate: rate, Got: f.limited.got[service]}
-		a.Waiting, a.Priority = f.queue.Waiting(service) // of an engine's service
+		a.Waiting, a.Priority = f.queue.CountWaiting(service) // of an engine's service
 		for _, w := range f.limited.waiting {
 			if w.work.Service != service {
 				continue
--- a/replay/callers.go
+++ b/replay/callers.go
@@ -56,16 +56,16 @@
 		return
 	}
 	g := r.gateway
-	patience := g.view.Patience(x.now, r.work, x.p.Target, g.queue.Len(), g.times)
+	patience := g.view.QueueTimeout(x.now, r.work, x.p.Target, g.queue.Len(), g.times)
 	if x.o.Patience != nil {
 		patience = x.o.Patience(x.p.Target)
 	}
 	r.until = x.now.Add(patience)
-	r.waiting = &dispatch.Waiting{Work: r.work, Engine: x.route, Avoid: dispatch.Avoid{}}
+	r.waiting = &dispatch.QueuedRequest{Work: r.work, Engine: x.route, Avoid: dispatch.Avoid{}}
 	if x.p.Organisations > 0 {
 		name := strconv.Itoa(r.organisation)
 		x.shares.Add(x.now, name, float64(r.work.Prompt+r.work.Expected))
-		r.waiting.Work.Beyond = !x.o.Unfair && x.shares.Exceeds(x.now, name)
+		r.waiting.Work.OverShare = !x.o.Unfair && x.shares.Exceeds(x.now, name)
 	}
 	g.queue.Add(r.waiting)
 	g.waiting = append(g.waiting, r)
@@ -77,19 +77,19 @@
 		return
 	}
 	var again []*request
-	g.view.Serve(x.now, &g.queue, func(w *dispatch.Waiting, pair dispatch.Pair) {
+	g.view.ServeQueue(x.now, &g.queue, func(w *dispatch.QueuedRequest, pair dispatch.Pair) {
 		i := slices.IndexFunc(g.waiting, func(r *request) bool { return r.waiting == w })
 		r := g.waiting[i]
 		g.waiting = slices.Delete(g.waiting, i, i+1)
 		r.pair, r.placedAt, r.booked = pair, x.now, w.Work
 		if !x.byID[pair.Decode.ID].hold(r) {
 			g.view.Release(pair.Decode.ID, r.booked)
-			g.view.EndRead(pair.Reader().ID, r.booked)
+			g.view.EndPrefill(pair.PrefillServer().ID, r.booked)
 			w.Avoid[pair.Decode.ID] = true
 			again = append(again, r)
 			return
 		}
-		x.byID[pair.Reader().ID].read(r)
+		x.byID[pair.PrefillServer().ID].read(r)
 	})
 	for _, r := range again {
 		g.queue.Add(r.waiting)
@@ -116,7 +116,7 @@
 	r.pair = dispatch.Pair{Prefill: view.Get(x.prefill[p].id), Decode: view.Get(x.decode[d].id)}
 	r.placedAt, r.booked = x.now, r.work
 	view.Reserve(r.pair.Decode.ID, r.booked)
-	view.StartRead(r.pair.Reader().ID, r.booked)
+	view.StartPrefill(r.pair.PrefillServer().ID, r.booked)
 	x.prefill[p].read(r)
 }
 
@@ -141,7 +141,7 @@
 // refuse sends a caller away, who comes back once as told.
 func (x *play) refuse(r *request) {
 	x.out.Refused++
-	r.until = x.now.Add(dispatch.ReturnAfter(r.gateway.times.Whole, 0, x.rng.Float64()))
+	r.until = x.now.Add(dispatch.RetryAfter(r.gateway.times.Total, 0, x.rng.Float64()))
 	if r.tries >= mostTries || r.until.After(r.first.Add(x.p.Deadline)) {
 		return
 	}
--- a/replay/service.go
+++ b/replay/service.go
@@ -11,8 +11,8 @@
 func (x *play) read() {
 	for _, e := range slices.Concat(x.prefill, x.decode) {
 		for _, r := range e.stepReads(step) {
-			r.gateway.view.EndRead(e.id, r.booked)
-			r.gateway.view.NoteRead(x.now, e.id, x.now.Sub(r.placedAt), r.work.Prompt)
+			r.gateway.view.EndPrefill(e.id, r.booked)
+			r.gateway.view.NotePrefill(x.now, e.id, x.now.Sub(r.placedAt), r.work.Prompt)
 			x.handovers = append(x.handovers, handed{r, x.now.Add(handover)})
 		}
 	}
@@ -36,7 +36,7 @@
 		e.runs = e.runs[:len(e.runs)-1]
 		x.out.Wasted += r.work.Prompt
 		r.gateway.view.Release(id, r.booked)
-		r.gateway.view.Note(x.now, id, dispatch.Bad, 0)
+		r.gateway.view.NoteOutcome(x.now, id, dispatch.Failure, 0)
 		x.out.Failed++
 		return
 	}
@@ -61,7 +61,7 @@
 			x.handovers = append(x.handovers, handed{lost.r, x.now.Add(time.Duration(lost.holds / x.p.ReadRate * float64(time.Millisecond)))})
 		}
 		for _, going := range e.runs {
-			if made := int(going.made); made-going.r.booked.Made >= eventTokens {
+			if made := int(going.made); made-going.r.booked.Generated >= eventTokens {
 				going.r.booked, _ = going.r.gateway.view.Grow(e.id, going.r.booked, made)
 			}
 		}
@@ -72,7 +72,7 @@
 func (x *play) end(e *engine, r *request) {
 	g := r.gateway
 	g.view.Release(e.id, r.booked)
-	g.view.Note(x.now, e.id, dispatch.Good, x.now.Sub(r.placedAt))
+	g.view.NoteOutcome(x.now, e.id, dispatch.Success, x.now.Sub(r.placedAt))
 	g.times.Note(x.now.Sub(r.arrived), max(r.firstAt.Sub(r.placedAt), 0), x.now.Sub(r.firstAt), r.answer)
 	took := r.firstAt.Sub(r.first)
 	x.firsts = append(x.firsts, took)
