--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -17,7 +17,7 @@
 	Since time.Time
 
 	// sends counts requests, and sends beyond the first of each.
-	sends window
+	counts window
 }
 
 const (
@@ -27,15 +27,15 @@
 	budgetUse = 0.7
 	// freshUse is the part of the constant that a gateway uses in its first
 	// window.
-	freshUse = 0.3
+	newGatewayUse = 0.3
 )
 
 // window returns the counts, which begin with the first use.
 func (b *Budget) window() *window {
-	if b.sends.parts == nil {
-		b.sends = newWindow(budgetBuckets, b.Window/(budgetBuckets-1))
+	if b.counts.buckets == nil {
+		b.counts = newWindow(budgetBuckets, b.Window/(budgetBuckets-1))
 	}
-	return &b.sends
+	return &b.counts
 }
 
 // Request counts a request.
@@ -50,7 +50,7 @@
 	requests, extra := b.window().sum(now)
 	slack := b.Slack / float64(max(gateways, 1))
 	if now.Sub(b.Since) < b.Window {
-		slack *= freshUse
+		slack *= newGatewayUse
 	}
 	allowed := budgetUse * (b.Ratio*float64(requests) + slack)
 	if float64(extra+sends) > allowed {
--- a/dispatch/cold.go
+++ b/dispatch/cold.go
@@ -22,28 +22,28 @@
 // cold is what a gateway knows of a server that may be cold.
 type cold struct {
 	// until is when it is warm, by its own report.
-	until time.Time
+	warmAt time.Time
 	// unsure is when its availability zone was given back. Its caches may have been dropped
 	// meanwhile, until it has reported itself since.
-	unsure time.Time
-	lease  warmup.Lease
+	restoredAt time.Time
+	lease      warmup.Lease
 }
 
 // SetCold takes what each service says of its cold servers.
-func (f *Fleet) SetColdSettings(services map[string]ColdSettings) { f.coldServers = services }
+func (f *Fleet) SetColdSettings(services map[string]ColdSettings) { f.coldSettings = services }
 
 // IsCold tells whether a server bears fewer requests than usual now.
 func (f *Fleet) IsCold(now time.Time, s *Server) bool {
-	c := f.coldServers[s.Service]
+	c := f.coldSettings[s.Service]
 	if !c.Bounded {
 		return false
 	}
-	return now.Before(s.cold.until) || !s.heardAt.After(s.cold.unsure) && now.Sub(s.cold.unsure) < c.Duration
+	return now.Before(s.cold.warmAt) || !s.reportedAt.After(s.cold.restoredAt) && now.Sub(s.cold.restoredAt) < c.Duration
 }
 
 // bears tells whether this gateway may send a server one more request, as far as that hangs on
 // whether it is cold.
-func (f *Fleet) bears(now time.Time, s *Server) bool {
+func (f *Fleet) coldAllows(now time.Time, s *Server) bool {
 	return !f.IsCold(now, s) || s.cold.lease.Allows(now)
 }
 
@@ -59,11 +59,11 @@
 }
 
 // Lease takes that this gateway may send a number of requests a second to a cold server.
-func (f *Fleet) RenewLease(now time.Time, id string, most int, d time.Duration) {
+func (f *Fleet) RenewLease(now time.Time, id string, maxRate int, d time.Duration) {
 	if s := f.servers[id]; s != nil {
-		s.cold.lease.Renew(now, most, d)
+		s.cold.lease.Renew(now, maxRate, d)
 	}
 }
 
 // heardCold takes what a report that was heard at a time says of how long the server is cold.
-func (s *Server) heardCold(heard time.Time, d time.Duration) { s.cold.until = heard.Add(d) }
+func (s *Server) setCold(reportedAt time.Time, d time.Duration) { s.cold.warmAt = reportedAt.Add(d) }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -59,17 +59,17 @@
 	health   health
 	// seen is how the requests of this gateway went of late, OthersSeen how those of
 	// the others did; left tells whether the fleet leaves the server alone.
-	seen       evidence
-	OthersSeen Evidence
-	left       left
+	ownEvidence evidence
+	OthersSeen  Evidence
+	ejection    ejection
 	// rank is the server's number at this gateway.
-	rank    uint64
-	heardAt time.Time
+	rank       uint64
+	reportedAt time.Time
 	// leavingAt is when this gateway heard that it leaves.
-	leavingAt time.Time
-	gone      bool
+	leavingSince time.Time
+	gone         bool
 	// ended tells that a later start of the server has replaced this one.
-	ended bool
+	replaced bool
 	// evacuated tells that its availability zone gets no new work.
 	evacuated bool
 	cold      cold
@@ -78,23 +78,23 @@
 	pause selfreport.Pause
 	// saidLeaving tells that the server has said in an answer that it leaves, toldLeaving that
 	// control was told so.
-	saidLeaving, toldLeaving bool
+	leavingReported, leavingSent bool
 	// region is that of its availability zone; empty if that is not known.
 	region string
 	// rival is another incarnation at the same address, which counts in its place.
-	rival *Server
+	supersededBy *Server
 	// away is the role that an engine is changing to, if it is; it is back no
 	// sooner than backAt, and is used as it is after awayUntil.
-	away              string
-	backAt, awayUntil time.Time
+	targetRole                             string
+	roleChangeEarliest, roleChangeDeadline time.Time
 }
 
 // Fleet is all servers that a gateway knows.
 type Fleet struct {
 	// key is the number of the gateway's name.
-	key     uint64
-	servers map[string]*Server
-	starts  *registry.Incarnations
+	gatewayKey   uint64
+	servers      map[string]*Server
+	incarnations *registry.Incarnations
 	// groups are the servers by service and role, made anew when one comes,
 	// goes or changes its role; cursor is where the next choice starts to look.
 	groups map[group][]*Server
@@ -102,39 +102,39 @@
 	// hidden are the numbers of servers of each group that get no new work since their
 	// availability zone is being evacuated, or since they want a pause; the first of these is
 	// back at backAt, zero if there is none.
-	hidden map[group]int
-	backAt time.Time
+	excluded     map[group]int
+	nextPauseEnd time.Time
 	// Zone is the gateway's own availability zone.
 	Zone string
 	// regions are those of the availability zones, and trips the times of a round trip to each.
-	regions map[string]string
-	trips   map[string]time.Duration
+	regions    map[string]string
+	roundTrips map[string]time.Duration
 	// Others is what is known of the other gateways.
 	Others OtherGateways
 	// sizes are the numbers of servers of all groups, also of those that this
 	// gateway does not work with.
-	sizes map[group]int
+	groupSizes map[group]int
 	// evacuated are the availability zones that get no new work.
 	evacuated map[string]bool
 	// coldServers is what services say of their cold servers.
-	coldServers map[string]ColdSettings
+	coldSettings map[string]ColdSettings
 	// Alone tells that nobody issues tokens to this gateway.
 	Standalone bool
 	// meters count the requests to each service.
 	meters map[string]*ratelimit.Meter
 	// earlyLimits are limits of servers that are not known yet.
-	earlyLimits map[string]ratelimit.Observation
+	pendingLimits map[string]ratelimit.Observation
 	// readRates are the paces at which prefill engines read, by service.
-	readRates map[string]float64
+	prefillRates map[string]float64
 }
 
 // SetSize takes the number of servers of a service and role.
-func (f *Fleet) SetGroupSize(service, role string, n int) { f.sizes[group{service, role}] = n }
+func (f *Fleet) SetGroupSize(service, role string, n int) { f.groupSizes[group{service, role}] = n }
 
 // Sharing returns the number of gateways that work with one server of a service
 // and role: all of them, unless each has a part of the servers.
 func (f *Fleet) GatewaysPerServer(service, role string) int {
-	return subset.GatewaysPerServer(f.sizes[group{service, role}], f.Others.Gateways)
+	return subset.GatewaysPerServer(f.groupSizes[group{service, role}], f.Others.Gateways)
 }
 
 // group is the servers of a service that do the same work.
@@ -145,51 +145,51 @@
 // not all take the same one; and never more than a bound, so that the cost of a
 // choice does not grow with the fleet.
 const (
-	choicePart   = 4
-	leastChoices = 4
-	mostChoices  = 24
+	choiceDivisor = 4
+	minChoices    = 4
+	maxChoices    = 24
 )
 
 // search calls fits for some servers of a group, others each time, and if none of
 // them fits for all of it, or as many as a choice may look at.
 func (f *Fleet) search(now time.Time, service, role string, fits func(s *Server) bool) {
 	list := f.group(now, service, role)
-	looked := min(max(len(list)/choicePart, leastChoices), mostChoices)
+	n := min(max(len(list)/choiceDivisor, minChoices), maxChoices)
 	found := false
 	visit := func(s *Server) { found = fits(s) || found }
-	f.visit(list, looked, visit)
-	if !found && looked < len(list) {
-		f.visit(list, f.mostLooked(now, list), visit)
+	f.visit(list, n, visit)
+	if !found && n < len(list) {
+		f.visit(list, f.maxSearched(now, list), visit)
 	}
 }
 
 // mostLooked is how many servers of a group a choice looks at if it finds none: all of them where
 // some name limits, since a token is for one server.
-func (f *Fleet) mostLooked(now time.Time, list []*Server) int {
+func (f *Fleet) maxSearched(now time.Time, list []*Server) int {
 	for _, s := range list {
 		if f.IsLimited(now, s) {
 			return len(list)
 		}
 	}
-	return mostChoices
+	return maxChoices
 }
 
 func (f *Fleet) group(now time.Time, service, role string) []*Server {
-	if f.groups == nil || !f.backAt.IsZero() && !now.Before(f.backAt) {
+	if f.groups == nil || !f.nextPauseEnd.IsZero() && !now.Before(f.nextPauseEnd) {
 		f.regroup(now)
 	}
 	return f.groups[group{service, role}]
 }
 
-func (f *Fleet) visit(list []*Server, looked int, visit func(s *Server)) {
-	if len(list) <= looked {
+func (f *Fleet) visit(list []*Server, n int, visit func(s *Server)) {
+	if len(list) <= n {
 		for _, s := range list {
 			visit(s)
 		}
 		return
 	}
-	f.cursor += looked
-	for i := range looked {
+	f.cursor += n
+	for i := range n {
 		visit(list[(f.cursor+i)%len(list)])
 	}
 }
@@ -198,16 +198,16 @@
 // control may have given them to other gateways, and a choice that looked at
 // them only would find none.
 func (f *Fleet) regroup(now time.Time) {
-	f.groups, f.hidden, f.backAt = map[group][]*Server{}, map[group]int{}, time.Time{}
+	f.groups, f.excluded, f.nextPauseEnd = map[group][]*Server{}, map[group]int{}, time.Time{}
 	for _, s := range f.servers {
-		left := s.pause.Remaining(now)
-		if !s.gone && (s.evacuated || left > 0) {
-			f.hidden[group{s.Service, s.Role}]++
+		remaining := s.pause.Remaining(now)
+		if !s.gone && (s.evacuated || remaining > 0) {
+			f.excluded[group{s.Service, s.Role}]++
 		}
-		if back := now.Add(left); left > 0 && (f.backAt.IsZero() || back.Before(f.backAt)) {
-			f.backAt = back
+		if resumeAt := now.Add(remaining); remaining > 0 && (f.nextPauseEnd.IsZero() || resumeAt.Before(f.nextPauseEnd)) {
+			f.nextPauseEnd = resumeAt
 		}
-		if !s.gone && !s.evacuated && left == 0 && s.rival == nil && s.State == registry.Ready && s.alive(now) {
+		if !s.gone && !s.evacuated && remaining == 0 && s.supersededBy == nil && s.State == registry.Ready && s.alive(now) {
 			k := group{s.Service, s.Role}
 			f.groups[k] = append(f.groups[k], s)
 		}
@@ -218,11 +218,11 @@
 }
 
 // rank orders servers differently at each gateway.
-func (f *Fleet) rank(id string) uint64 { return mix.Pair(f.key, mix.Name(id)) }
+func (f *Fleet) rank(id string) uint64 { return mix.Pair(f.gatewayKey, mix.Name(id)) }
 
 // NewFleet returns a fleet without servers.
 func NewFleet(name, zone string) *Fleet {
-	return &Fleet{key: mix.Name(name), servers: map[string]*Server{}, starts: registry.NewIncarnations(), sizes: map[group]int{}, readRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, earlyLimits: map[string]ratelimit.Observation{}, trips: map[string]time.Duration{}, Zone: zone, Others: OtherGateways{Gateways: 1, Known: 1}}
+	return &Fleet{gatewayKey: mix.Name(name), servers: map[string]*Server{}, incarnations: registry.NewIncarnations(), groupSizes: map[group]int{}, prefillRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, pendingLimits: map[string]ratelimit.Observation{}, roundTrips: map[string]time.Duration{}, Zone: zone, Others: OtherGateways{Gateways: 1, Known: 1}}
 }
 
 // SetOthers takes what is known of the other gateways.
@@ -232,7 +232,7 @@
 		s.Others = o.Loads[id]
 		s.OthersSeen = o.Evidence[id]
 	}
-	f.judge(now)
+	f.ejectFailing(now)
 }
 
 // Get returns a server, or nil.
@@ -248,7 +248,7 @@
 	var best *Server
 	bestScore := 0.0
 	f.search(now, w.Service, "", func(s *Server) bool {
-		if avoid[s.ID] || !s.listed(now) || !s.pause.MayChoose(now) || !f.bears(now, s) || !f.admits(now, s) || !w.permits(s) {
+		if avoid[s.ID] || !s.available(now) || !s.pause.MayChoose(now) || !f.coldAllows(now, s) || !f.limitAllows(now, s) || !w.permits(s) {
 			return false
 		}
 		score := f.score(now, s)
@@ -275,7 +275,7 @@
 func (f *Fleet) Evidence(now time.Time) map[string]Evidence {
 	out := map[string]Evidence{}
 	for id, s := range f.servers {
-		if e := s.seen.sum(now); e != (Evidence{}) {
+		if e := s.ownEvidence.sum(now); e != (Evidence{}) {
 			out[id] = e
 		}
 	}
--- a/dispatch/distance.go
+++ b/dispatch/distance.go
@@ -34,20 +34,20 @@
 	// milliseconds, and a stream that comes from another zone: their links are slower
 	// and their bytes are dear. For streams it takes a fifth of all bytes between zones
 	// away.
-	crossZone = 60.0
+	crossZoneCost = 60.0
 	// regionMoves is how many times as long a KV cache takes to another region as to another
 	// zone, by what engines say of their links.
-	regionMoves = 5.0
+	crossRegionFactor = 5.0
 	// readTrips and runTrips are the round trips that a read and a run cost before the first
 	// event, a new connection included: a run also sets room aside.
-	readTrips = 2.0
-	runTrips  = 3.0
+	prefillTrips = 2.0
+	decodeTrips  = 3.0
 	// tripWeight is the weight of the newest connection in the time of a round trip.
 	tripWeight = 0.2
 	// nearTrip and farTrip are the round trips within a region and to another one until
 	// connections have shown them.
-	nearTrip = 2 * time.Millisecond
-	farTrip  = 40 * time.Millisecond
+	sameRegionTrip  = 2 * time.Millisecond
+	crossRegionTrip = 40 * time.Millisecond
 )
 
 // NoteConnect takes how long a connection to a server took to open, which is a round trip.
@@ -57,23 +57,23 @@
 		return
 	}
 	old := f.RoundTrip(s.Zone)
-	f.trips[s.Zone] = old + time.Duration(tripWeight*float64(took-old))
+	f.roundTrips[s.Zone] = old + time.Duration(tripWeight*float64(took-old))
 }
 
 // Trip returns the time of a round trip to a zone.
 func (f *Fleet) RoundTrip(zone string) time.Duration {
-	if t, ok := f.trips[zone]; ok {
+	if t, ok := f.roundTrips[zone]; ok {
 		return t
 	}
 	if f.proximity(f.Zone, zone) == OtherRegion {
-		return farTrip
+		return crossRegionTrip
 	}
-	return nearTrip
+	return sameRegionTrip
 }
 
 // wayCost is the time in milliseconds that the way from this gateway to a server counts as, for
 // work that takes some round trips. Within a region the trips are too short to matter.
-func (f *Fleet) wayCost(zone string, trips float64) float64 {
+func (f *Fleet) tripCost(zone string, trips float64) float64 {
 	if f.proximity(f.Zone, zone) != OtherRegion {
 		return 0
 	}
@@ -85,16 +85,16 @@
 	if s.Zone == f.Zone {
 		return 0
 	}
-	return crossZone + f.wayCost(s.Zone, runTrips)
+	return crossZoneCost + f.tripCost(s.Zone, decodeTrips)
 }
 
 // moveCost is what the way of a KV cache from one zone to another counts as.
-func (f *Fleet) moveCost(from, to string) float64 {
+func (f *Fleet) transferCost(from, to string) float64 {
 	switch f.proximity(from, to) {
 	case SameZone:
 		return 0
 	case OtherRegion:
-		return crossZone * regionMoves
+		return crossZoneCost * crossRegionFactor
 	}
-	return crossZone
+	return crossZoneCost
 }
--- a/dispatch/draw.go
+++ b/dispatch/draw.go
@@ -15,26 +15,26 @@
 
 // turnTime is how long a draw holds: the time in which gateways hear of each
 // other.
-const turnTime = 80 * time.Millisecond
+const slotDrawInterval = 80 * time.Millisecond
 
 // turn tells whether this gateway may take room at an engine now.
-func (f *Fleet) turn(now time.Time, s *Server, w Work, e *route.Engine) bool {
+func (f *Fleet) winsDraw(now time.Time, s *Server, w Work, e *route.Engine) bool {
 	if f.Others.Queued <= 0 || e.KVTokens <= 0 {
 		return true
 	}
-	chance := f.places(s, w, e) / float64(f.Others.Queued+1)
+	chance := f.freeSlots(s, w, e) / float64(f.Others.Queued+1)
 	if chance >= 1 {
 		return true
 	}
-	slice := uint64(now.UnixNano() / int64(turnTime))
-	draw := mix.Pair(mix.Pair(f.key, slice), mix.Name(s.ID))
+	interval := uint64(now.UnixNano() / int64(slotDrawInterval))
+	draw := mix.Pair(mix.Pair(f.gatewayKey, interval), mix.Name(s.ID))
 	return float64(draw) < chance*math.MaxUint64
 }
 
 // places is the number of requests like one for which an engine has room.
-func (f *Fleet) places(s *Server, w Work, e *route.Engine) float64 {
+func (f *Fleet) freeSlots(s *Server, w Work, e *route.Engine) float64 {
 	memory := float64(e.KVTokens)
-	end := (MemoryOvercommit*memory - float64(f.used(s))) / float64(max(w.tokens(), 1))
-	now := (fullMark*memory - float64(f.held(s))) / float64(max(w.held(), 1))
-	return max(min(end, now), 1)
+	atEnd := (MemoryOvercommit*memory - float64(f.reservedTokens(s))) / float64(max(w.finalTokens(), 1))
+	now := (fullLevel*memory - float64(f.currentTokens(s))) / float64(max(w.currentTokens(), 1))
+	return max(min(atEnd, now), 1)
 }
--- a/dispatch/evacuate.go
+++ b/dispatch/evacuate.go
@@ -11,7 +11,7 @@
 	}
 	for _, s := range f.servers {
 		if s.evacuated && !f.evacuated[s.Zone] {
-			s.cold.unsure = now
+			s.cold.restoredAt = now
 		}
 		s.evacuated = f.evacuated[s.Zone]
 	}
--- a/dispatch/evidence.go
+++ b/dispatch/evidence.go
@@ -38,31 +38,31 @@
 	// leastBad and leastWitnesses are the failures, and the gateways that saw them,
 	// without which nothing is proved: two failures in a row happen by chance where
 	// one in seven fails, and what one gateway sees may be its own connection.
-	leastBad       = 3
-	leastWitnesses = 2
+	minFailures  = 3
+	minWitnesses = 2
 	// sure is the number of standard deviations that the proven share of failures lies
 	// below the observed one: one in forty proofs is wrong.
-	sure = 2.0
+	zScore = 2.0
 	// leaveShare is the proven share of failures from which on a server is left alone.
 	// A failure costs the request and the time until its caller comes back, some
 	// three times what waiting for room elsewhere costs.
-	leaveShare = 0.3
+	provenEjectShare = 0.3
 	// hopelessShare is the proven share from which on a server's room counts for
 	// nothing, so that leaving it alone takes nothing from the others.
-	hopelessShare = 0.6
+	uselessShare = 0.6
 	// idleSpare is the part of a group that may be left alone at most: if more than half
 	// of it fails, the fault is elsewhere. busySpare is that of servers that do part of
 	// their work while requests wait for room: each takes its room from them.
-	idleSpare = 0.5
-	busySpare = 1.0 / 6
+	maxEjectedIdle = 0.5
+	maxEjectedBusy = 1.0 / 6
 	// leaveFor is how long a server is left alone after the last proof at first, and
 	// mostLeaveFor the most, if it fails again when it is tried. returnTime is the
 	// time over which gateways come back to it, few at first.
-	leaveFor     = 500 * time.Millisecond
-	mostLeaveFor = 4 * time.Second
-	returnTime   = 2 * time.Second
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
+	readmitTime = 2 * time.Second
 	// returnDraw is how long a draw holds whether a gateway tries the server.
-	returnDraw = 200 * time.Millisecond
+	readmitDrawInterval = 200 * time.Millisecond
 )
 
 // evidence keeps the outcomes of one gateway's requests to one server: those that went well
@@ -70,8 +70,8 @@
 type evidence struct{ outcomes window }
 
 // note counts an outcome.
-func (e *evidence) note(now time.Time, bad bool) {
-	if e.outcomes.parts == nil {
+func (e *evidence) record(now time.Time, bad bool) {
+	if e.outcomes.buckets == nil {
 		e.outcomes = newWindow(evidenceBuckets, evidenceTime/evidenceBuckets)
 	}
 	c := e.outcomes.at(now)
@@ -95,31 +95,31 @@
 // provenShare is the least share of failures that the evidence proves (the lower end of
 // the interval of Wilson, 1927); zero if there is too little.
 func (e Evidence) provenShare(witnesses int) float64 {
-	if e.Bad < leastBad || e.Gateways < witnesses {
+	if e.Bad < minFailures || e.Gateways < witnesses {
 		return 0
 	}
 	n := float64(e.Bad + e.Good)
 	share := float64(e.Bad) / n
-	spread := sure * math.Sqrt(share*(1-share)/n+sure*sure/(4*n*n))
-	return (share + sure*sure/(2*n) - spread) / (1 + sure*sure/n)
+	margin := zScore * math.Sqrt(share*(1-share)/n+zScore*zScore/(4*n*n))
+	return (share + zScore*zScore/(2*n) - margin) / (1 + zScore*zScore/n)
 }
 
 // left is a server that the fleet leaves alone.
-type left struct {
+type ejection struct {
 	// until is when the first gateways may try it again; zero if it is not left alone.
 	until time.Time
 	// span is how long it was left alone the last time.
-	span time.Duration
+	duration time.Duration
 }
 
 // judge leaves servers alone that fail, by what all gateways have seen.
-func (f *Fleet) judge(now time.Time) {
+func (f *Fleet) ejectFailing(now time.Time) {
 	if f.groups == nil {
 		f.regroup(now)
 	}
-	witnesses := min(leastWitnesses, f.Others.Known)
+	witnesses := min(minWitnesses, f.Others.Known)
 	for _, list := range f.groups {
-		f.judgeGroup(now, list, witnesses)
+		f.ejectFailingIn(now, list, witnesses)
 	}
 }
 
@@ -128,11 +128,11 @@
 	share  float64
 }
 
-func (f *Fleet) judgeGroup(now time.Time, list []*Server, witnesses int) {
+func (f *Fleet) ejectFailingIn(now time.Time, list []*Server, witnesses int) {
 	var suspects []suspect
 	for _, s := range list {
-		share := s.seen.sum(now).Add(s.OthersSeen).provenShare(witnesses)
-		if share >= leaveShare {
+		share := s.ownEvidence.sum(now).Add(s.OthersSeen).provenShare(witnesses)
+		if share >= provenEjectShare {
 			suspects = append(suspects, suspect{s, share})
 		}
 	}
@@ -140,51 +140,51 @@
 		return
 	}
 	sort.Slice(suspects, func(i, j int) bool { return suspects[i].share > suspects[j].share })
-	spare := f.spare()
+	maxShare := f.maxEjectedShare()
 	for i, x := range suspects {
-		part := float64(i+1) / float64(len(list))
-		if x.share >= hopelessShare && part <= idleSpare || part <= spare {
-			x.server.leave(now)
+		ejected := float64(i+1) / float64(len(list))
+		if x.share >= uselessShare && ejected <= maxEjectedIdle || ejected <= maxShare {
+			x.server.eject(now)
 		}
 	}
 }
 
 // spare is the part of a group that may be left alone while its servers do part of their
 // work.
-func (f *Fleet) spare() float64 {
+func (f *Fleet) maxEjectedShare() float64 {
 	if f.Others.Queued > 0 {
-		return busySpare
+		return maxEjectedBusy
 	}
-	return idleSpare
+	return maxEjectedIdle
 }
 
 // leave has a server left alone for a while from now on. One that fails again soon after
 // it was tried is left alone for longer.
-func (s *Server) leave(now time.Time) {
-	l := &s.left
+func (s *Server) eject(now time.Time) {
+	e := &s.ejection
 	switch {
-	case l.until.IsZero() || now.Sub(l.until) > 2*returnTime+mostLeaveFor:
-		l.span = leaveFor
-	case now.After(l.until.Add(evidenceTime)):
-		l.span = min(2*l.span, mostLeaveFor)
+	case e.until.IsZero() || now.Sub(e.until) > 2*readmitTime+maxEjection:
+		e.duration = minEjection
+	case now.After(e.until.Add(evidenceTime)):
+		e.duration = min(2*e.duration, maxEjection)
 	}
-	l.until = now.Add(l.span)
+	e.until = now.Add(e.duration)
 }
 
 // shunned tells whether the fleet leaves a server alone now. After that time gateways
 // come back to it one after the other, so that a server that still fails ends few
 // requests.
-func (s *Server) shunned(now time.Time) bool {
-	if s.left.until.IsZero() {
+func (s *Server) ejected(now time.Time) bool {
+	if s.ejection.until.IsZero() {
 		return false
 	}
-	back := now.Sub(s.left.until)
-	if back < 0 {
+	elapsed := now.Sub(s.ejection.until)
+	if elapsed < 0 {
 		return true
 	}
-	if back >= returnTime {
+	if elapsed >= readmitTime {
 		return false
 	}
-	draw := mix.Pair(s.rank, uint64(now.UnixNano()/int64(returnDraw)))
-	return float64(draw) >= float64(back)/float64(returnTime)*math.MaxUint64
+	draw := mix.Pair(s.rank, uint64(now.UnixNano()/int64(readmitDrawInterval)))
+	return float64(draw) >= float64(elapsed)/float64(readmitTime)*math.MaxUint64
 }
--- a/dispatch/exclusion.go
+++ b/dispatch/exclusion.go
@@ -62,12 +62,12 @@
 // Ruled tells what keeps a request from being placed.
 func (f *Fleet) Exclusion(now time.Time, w Work, e *route.Engine) Exclusion {
 	out := Exclusion{
-		Rule: RuleNoEngine, Count: map[Rule]int{}, MinPrefillTime: f.leastRead(now, w),
+		Rule: RuleNoEngine, Count: map[Rule]int{}, MinPrefillTime: f.minPrefillTime(now, w),
 		Queued: f.Others.Queued, Known: f.Others.Known, Gateways: f.Others.Gateways,
 	}
-	f.visit(f.group(now, w.Service, registry.Decode), mostChoices, func(s *Server) {
+	f.visit(f.group(now, w.Service, registry.Decode), maxChoices, func(s *Server) {
 		out.Engines++
-		out.Count[f.rule(now, s, w, e)]++
+		out.Count[f.excludingRule(now, s, w, e)]++
 	})
 	for _, s := range f.servers {
 		if s.Service != w.Service || s.Role != registry.Decode || !w.permits(s) {
@@ -89,25 +89,25 @@
 
 // rule names what keeps a request from a decode engine. One with room for it, at this
 // gateway's turn, can only be out of reach for a prompt that is read too late.
-func (f *Fleet) rule(now time.Time, s *Server, w Work, e *route.Engine) Rule {
+func (f *Fleet) excludingRule(now time.Time, s *Server, w Work, e *route.Engine) Rule {
 	switch {
 	case !w.permits(s):
 		return RuleRegion
-	case !s.listed(now):
+	case !s.available(now):
 		return RuleLeaving
 	case s.blocked(now):
 		return RuleBlocked
 	case !s.pause.MayChoose(now):
 		return RulePause
-	case !f.bears(now, s):
+	case !f.coldAllows(now, s):
 		return RuleCold
-	case !f.admits(now, s):
+	case !f.limitAllows(now, s):
 		return RuleLimited
 	}
-	if lacks := f.lacks(s, w, e); lacks != "" {
-		return lacks
+	if shortage := f.shortage(s, w, e); shortage != "" {
+		return shortage
 	}
-	if !f.turn(now, s, w, e) {
+	if !f.winsDraw(now, s, w, e) {
 		return RuleOtherGateway
 	}
 	return RuleLatePrefill
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -20,10 +20,10 @@
 const (
 	// refusedAt is the number of refusals in a row, with no proof of whose fault
 	// they are, after which an engine is left alone.
-	refusedAt = 2
+	refusalThreshold = 2
 	// refusedBlock is how long a decode engine is left alone at first. Each try
 	// costs a prompt read for nothing, and a change of its role takes seconds.
-	refusedBlock = 1200 * time.Millisecond
+	refusalBlock = 1200 * time.Millisecond
 )
 
 // NoteHandover blames the engines that a refusal proves to be at fault. A KV cache
@@ -40,29 +40,29 @@
 			prefill.refusals = 0
 		}
 		for _, id := range h.RefusedBy {
-			f.leaveAlone(now, f.servers[id], refusedBlock)
+			f.blockServer(now, f.servers[id], refusalBlock)
 		}
 	case len(h.RefusedBy) > 1:
-		f.leaveAlone(now, prefill, blockMin)
+		f.blockServer(now, prefill, minBlock)
 	case len(h.RefusedBy) == 1:
-		f.suspect(now, prefill, blockMin)
-		f.suspect(now, f.servers[h.RefusedBy[0]], refusedBlock)
+		f.countRefusal(now, prefill, minBlock)
+		f.countRefusal(now, f.servers[h.RefusedBy[0]], refusalBlock)
 	}
 }
 
 // suspect counts a refusal that may be an engine's fault.
-func (f *Fleet) suspect(now time.Time, s *Server, least time.Duration) {
+func (f *Fleet) countRefusal(now time.Time, s *Server, minBlockTime time.Duration) {
 	if s == nil {
 		return
 	}
-	if s.refusals++; s.refusals >= refusedAt {
-		f.leaveAlone(now, s, least)
+	if s.refusals++; s.refusals >= refusalThreshold {
+		f.blockServer(now, s, minBlockTime)
 	}
 }
 
-func (f *Fleet) leaveAlone(now time.Time, s *Server, least time.Duration) {
+func (f *Fleet) blockServer(now time.Time, s *Server, minBlockTime time.Duration) {
 	if s != nil {
 		s.refusals = 0
-		s.health.eject(now, least)
+		s.health.block(now, minBlockTime)
 	}
 }
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -15,22 +15,22 @@
 	ratelimit.Limit
 	allowance ratelimit.Allowance
 	// sent counts the requests of this gateway that went to the server while it held.
-	sent int
+	requests int
 	// untold is the newest observation that control has not been told, toldAt when it was told of
 	// this server last.
-	untold *ratelimit.Observation
-	toldAt time.Time
+	unsent *ratelimit.Observation
+	sentAt time.Time
 }
 
 const (
 	// limitAgain is the time after which control is told again that a server goes on naming its
 	// limit.
-	limitAgain = 400 * time.Millisecond
+	limitResendInterval = 400 * time.Millisecond
 	// limitRetell is the time after which control is told of a limit again though nothing was
 	// heard: a replica that has started anew over the same link would issue no tokens.
-	limitRetell = 2 * time.Second
+	limitRefreshInterval = 2 * time.Second
 	// mostEarly bounds the servers of which the limit is known before themselves.
-	mostEarly = 1000
+	maxPendingLimits = 1000
 )
 
 // LimitChange is a change of what a server takes.
@@ -44,54 +44,54 @@
 // NoteLimit takes what an answer of a server says of its limit. What allows more counts only by
 // the observation of control, which knows the answers that other gateways had, unless this gateway is
 // alone. It returns false if nothing has changed.
-func (f *Fleet) ObserveLimit(now time.Time, id string, w ratelimit.Observation) (LimitChange, bool) {
+func (f *Fleet) ObserveLimit(now time.Time, id string, o ratelimit.Observation) (LimitChange, bool) {
 	s := f.servers[id]
 	if s == nil {
 		return LimitChange{}, false
 	}
 	l := &s.limit
-	if l.Loosens(w) && !f.Standalone {
-		l.untold = &w
+	if l.Loosens(o) && !f.Standalone {
+		l.unsent = &o
 		return LimitChange{}, false
 	}
-	change, changed := s.takeLimit(now, w)
-	if w.Limited && (changed || now.Sub(l.toldAt) >= limitAgain) {
-		l.untold = &w
+	change, changed := s.applyLimit(now, o)
+	if o.Limited && (changed || now.Sub(l.sentAt) >= limitResendInterval) {
+		l.unsent = &o
 	}
 	return change, changed
 }
 
 // TellLimit takes what control tells of a server's limit; false if nothing has changed. Control
 // may not know yet what this gateway has heard since, and is told then.
-func (f *Fleet) ApplyLimit(now time.Time, id string, w ratelimit.Observation) (LimitChange, bool) {
+func (f *Fleet) ApplyLimit(now time.Time, id string, o ratelimit.Observation) (LimitChange, bool) {
 	s := f.servers[id]
 	if s == nil {
-		if len(f.earlyLimits) < mostEarly {
-			f.earlyLimits[id] = w
+		if len(f.pendingLimits) < maxPendingLimits {
+			f.pendingLimits[id] = o
 		}
 		return LimitChange{}, false
 	}
-	change, changed := s.takeLimit(now, w)
-	if known := s.limit.Newest(); !changed && !known.Same(w) {
-		s.limit.untold = &known
+	change, changed := s.applyLimit(now, o)
+	if known := s.limit.Newest(); !changed && !known.Same(o) {
+		s.limit.unsent = &known
 	}
 	return change, changed
 }
 
 // learnLimit takes what control told of the limit of a server before the server.
-func (f *Fleet) learnLimit(now time.Time, s *Server) {
-	if w, ok := f.earlyLimits[s.ID]; ok {
-		delete(f.earlyLimits, s.ID)
-		s.limit.Observe(now, w)
+func (f *Fleet) applyPendingLimit(now time.Time, s *Server) {
+	if o, ok := f.pendingLimits[s.ID]; ok {
+		delete(f.pendingLimits, s.ID)
+		s.limit.Observe(now, o)
 	}
 }
 
-func (s *Server) takeLimit(now time.Time, w ratelimit.Observation) (LimitChange, bool) {
-	if !s.limit.Observe(now, w) {
+func (s *Server) applyLimit(now time.Time, o ratelimit.Observation) (LimitChange, bool) {
+	if !s.limit.Observe(now, o) {
 		return LimitChange{}, false
 	}
-	out := LimitChange{Server: *s, Observation: s.limit.Newest(), Sent: s.limit.sent}
-	s.limit.sent = 0
+	out := LimitChange{Server: *s, Observation: s.limit.Newest(), Sent: s.limit.requests}
+	s.limit.requests = 0
 	return out, true
 }
 
@@ -105,12 +105,12 @@
 func (f *Fleet) UnsentLimits(now time.Time) []ServerObservation {
 	var out []ServerObservation
 	for id, s := range f.servers {
-		if w := s.limit.Newest(); w.Limited && s.limit.untold == nil && now.Sub(s.limit.toldAt) >= limitRetell {
-			s.limit.untold = &w
+		if o := s.limit.Newest(); o.Limited && s.limit.unsent == nil && now.Sub(s.limit.sentAt) >= limitRefreshInterval {
+			s.limit.unsent = &o
 		}
-		if w := s.limit.untold; w != nil {
-			out = append(out, ServerObservation{id, *w})
-			s.limit.untold, s.limit.toldAt = nil, now
+		if o := s.limit.unsent; o != nil {
+			out = append(out, ServerObservation{id, *o})
+			s.limit.unsent, s.limit.sentAt = nil, now
 		}
 	}
 	return out
@@ -119,8 +119,8 @@
 // RetellLimits has control told of all limits again, as another replica that does not know them.
 func (f *Fleet) ResendLimits() {
 	for _, s := range f.servers {
-		if w := s.limit.Newest(); w.Limited {
-			s.limit.untold = &w
+		if o := s.limit.Newest(); o.Limited {
+			s.limit.unsent = &o
 		}
 	}
 }
@@ -133,7 +133,7 @@
 
 // admits tells whether this gateway may send a server one more request, as far as that hangs on
 // its limit.
-func (f *Fleet) admits(now time.Time, s *Server) bool {
+func (f *Fleet) limitAllows(now time.Time, s *Server) bool {
 	return !f.IsLimited(now, s) || s.limit.allowance.Allows(now)
 }
 
@@ -146,7 +146,7 @@
 	if !s.limit.allowance.Take(now) {
 		return false
 	}
-	s.limit.sent++
+	s.limit.requests++
 	return true
 }
 
@@ -154,7 +154,7 @@
 func (f *Fleet) OweToken(now time.Time, id string) {
 	if s := f.servers[id]; s != nil && f.IsLimited(now, s) {
 		s.limit.allowance.ForceTake(now)
-		s.limit.sent++
+		s.limit.requests++
 	}
 }
 
@@ -220,7 +220,7 @@
 // OnlyTokensLack tells whether a request could go to some server if that took more.
 func (f *Fleet) LacksOnlyToken(now time.Time, w Work, avoid Avoid) bool {
 	for _, s := range f.servers {
-		if s.Service == w.Service && !avoid[s.ID] && s.listed(now) && w.permits(s) && !f.admits(now, s) {
+		if s.Service == w.Service && !avoid[s.ID] && s.available(now) && w.permits(s) && !f.limitAllows(now, s) {
 			return true
 		}
 	}
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -19,14 +19,14 @@
 	// away, at leastUrgency at first and at 1 when it is full. The urgency is the
 	// number of runs that leave while each of them makes one event: they belong to
 	// many gateways, which hear of each other with a lag of some events.
-	fullMark     = 0.90
-	leastUrgency = 0.25
+	fullLevel  = 0.90
+	minUrgency = 0.25
 	// roomMark is the part of an engine's memory that its runs may have when
 	// one more comes.
-	roomMark = 0.80
+	targetLevel = 0.80
 	// leaveTime is the time in which runs move away from an engine that leaves: one
 	// that can't goes back there, which must be before the engine takes no more.
-	leaveTime = 500 * time.Millisecond
+	leavingMigrationTime = 500 * time.Millisecond
 )
 
 // Reason tells why a run should leave its engine.
@@ -47,16 +47,16 @@
 		return Stay // what runs in a zone that is being evacuated ends there; one that wants a pause is not asked to move
 	}
 	if s.State == registry.Draining {
-		if now.Sub(s.leavingAt) < leaveTime {
+		if now.Sub(s.leavingSince) < leavingMigrationTime {
 			return Leaving
 		}
 		return Stay
 	}
-	runs, level := s.Own.Runs+s.Others.Runs, float64(f.held(s))/float64(e.KVTokens)
-	if runs < 2 || level < fullMark {
+	runs, level := s.Own.Runs+s.Others.Runs, float64(f.currentTokens(s))/float64(e.KVTokens)
+	if runs < 2 || level < fullLevel {
 		return Stay
 	}
-	urgency := min(max((level-fullMark)/(1-fullMark), leastUrgency), 1)
+	urgency := min(max((level-fullLevel)/(1-fullLevel), minUrgency), 1)
 	if draw*float64(runs) < urgency {
 		return Full
 	}
@@ -71,18 +71,18 @@
 	if s == nil {
 		return nil
 	}
-	rest := Work{Service: w.Service, Regions: w.Regions, Prompt: w.held(), Expected: max(w.Expected-w.Generated, 0)}
-	byWay := map[Proximity][]*Server{}
+	remaining := Work{Service: w.Service, Regions: w.Regions, Prompt: w.currentTokens(), Expected: max(w.Expected-w.Generated, 0)}
+	byProximity := map[Proximity][]*Server{}
 	f.search(now, w.Service, registry.Decode, func(to *Server) bool {
-		if to.ID == from || !f.mayTake(now, to, rest, nil) || !f.fits(to, rest, e) || !f.roomNow(to, rest, e, roomMark) {
+		if to.ID == from || !f.eligibleFor(now, to, remaining, nil) || !f.fits(to, remaining, e) || !f.fitsNow(to, remaining, e, targetLevel) {
 			return false
 		}
-		way := f.proximity(s.Zone, to.Zone)
-		byWay[way] = append(byWay[way], to)
+		proximity := f.proximity(s.Zone, to.Zone)
+		byProximity[proximity] = append(byProximity[proximity], to)
 		return true
 	})
-	for way := SameZone; way <= OtherRegion; way++ {
-		if list := byWay[way]; len(list) > 0 {
+	for proximity := SameZone; proximity <= OtherRegion; proximity++ {
+		if list := byProximity[proximity]; len(list) > 0 {
 			return list[int(pick*float64(len(list)))]
 		}
 	}
@@ -91,6 +91,6 @@
 
 // roomNow tells whether a request's tokens would fill less than a part of an
 // engine's memory, by what its runs have now.
-func (f *Fleet) roomNow(s *Server, w Work, e *route.Engine, part float64) bool {
-	return float64(f.held(s)+w.held()) <= part*float64(e.KVTokens)
+func (f *Fleet) fitsNow(s *Server, w Work, e *route.Engine, share float64) bool {
+	return float64(f.currentTokens(s)+w.currentTokens()) <= share*float64(e.KVTokens)
 }
--- a/dispatch/prefixcache.go
+++ b/dispatch/prefixcache.go
@@ -16,19 +16,19 @@
 	// lightRead is the number of tokens below which the rest of a kept prompt counts
 	// as no read: a decode engine reads them between two tokens of its runs, in one
 	// piece, and engines read in pieces of 1,024 and more, there a quarter as large.
-	lightRead = 256
+	negligiblePrefill = 256
 	// againWeight is how many times the time of a read counts besides, if some engine
 	// keeps the prompt: what is read again takes an engine's time from others. Of 1 and
 	// 3 that were tried, 3 had less read again.
-	againWeight = 3.0
+	reprefillWeight = 3.0
 )
 
 // KeptTokens returns the tokens at the begin of a prompt that an engine keeps, by what
 // it keeps of each part. A part is of use only if all parts before it are kept whole.
-func CachedTokens(prompt []route.PromptPart, kept map[string]int) int {
+func CachedTokens(prompt []route.PromptPart, cached map[string]int) int {
 	sum := 0
 	for _, part := range prompt {
-		tokens := min(kept[part.ID], part.Tokens)
+		tokens := min(cached[part.ID], part.Tokens)
 		sum += tokens
 		if tokens < part.Tokens {
 			break
@@ -38,34 +38,34 @@
 }
 
 // unread is the tokens of the prompt that an engine would have to read.
-func (w Work) unread(engine string) int {
-	kept := w.Cached[engine]
-	if kept > 0 && w.Prompt-kept < lightRead {
+func (w Work) uncachedTokens(engine string) int {
+	cached := w.Cached[engine]
+	if cached > 0 && w.Prompt-cached < negligiblePrefill {
 		return 0
 	}
-	return max(w.Prompt-kept, 0)
+	return max(w.Prompt-cached, 0)
 }
 
 // unreadPart is the part of the prompt that an engine would have to read.
-func (w Work) unreadPart(engine string) float64 {
+func (w Work) uncachedShare(engine string) float64 {
 	if w.Prompt <= 0 {
 		return 1 // its length is not known
 	}
-	return float64(w.unread(engine)) / float64(w.Prompt)
+	return float64(w.uncachedTokens(engine)) / float64(w.Prompt)
 }
 
 // againCost is the time in milliseconds that a read at an engine counts as beyond its
 // own, if the prompt has been read before.
-func (f *Fleet) againCost(s *Server, w Work) float64 {
+func (f *Fleet) reprefillCost(s *Server, w Work) float64 {
 	if len(w.Cached) == 0 {
 		return 0
 	}
-	return againWeight * float64(w.unread(s.ID)) / f.readRate(s.Service)
+	return reprefillWeight * float64(w.uncachedTokens(s.ID)) / f.prefillRate(s.Service)
 }
 
 // searchKept is search for a prompt: engines that keep a part of it are looked at
 // besides.
-func (f *Fleet) searchKept(now time.Time, w Work, role string, fits func(s *Server) bool) {
+func (f *Fleet) searchCached(now time.Time, w Work, role string, fits func(s *Server) bool) {
 	for id := range w.Cached {
 		if s := f.servers[id]; s != nil && s.Role == role {
 			fits(s)
@@ -78,7 +78,7 @@
 func (f *Fleet) EligibleServers(now time.Time, service string) []*Server {
 	var out []*Server
 	for _, s := range f.servers {
-		if s.Service == service && f.open(now, s, nil) {
+		if s.Service == service && f.eligible(now, s, nil) {
 			out = append(out, s)
 		}
 	}
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -72,7 +72,7 @@
 			if len(w.Avoid) == 0 {
 				return
 			}
-			if _, room := f.ChoosePair(now, w.Work, w.Engine, nil); !room {
+			if _, anywhere := f.ChoosePair(now, w.Work, w.Engine, nil); !anywhere {
 				return
 			}
 			at++
--- a/dispatch/selfreport.go
+++ b/dispatch/selfreport.go
@@ -36,34 +36,34 @@
 			out = append(out, Change{Server: *s, Field: selfreport.Limit, Limit: change})
 		}
 	}
-	if r.RetryAfter > 0 && f.notePause(s, r) {
+	if r.RetryAfter > 0 && f.extendPause(s, r) {
 		out = append(out, Change{Server: *s, Field: selfreport.RetryAfter, Pause: r.RetryAfter})
 	}
-	if r.Leaving && f.noteLeaving(now, s) {
+	if r.Leaving && f.markLeaving(now, s) {
 		out = append(out, Change{Server: *s, Field: selfreport.Leaving})
 	}
 	if r.Cold != nil {
-		s.heardCold(now, *r.Cold)
+		s.setCold(now, *r.Cold)
 	}
 	return out
 }
 
 // notePause takes that a server wants no requests for a time; false if that is no news.
-func (f *Fleet) notePause(s *Server, r selfreport.Report) bool {
+func (f *Fleet) extendPause(s *Server, r selfreport.Report) bool {
 	spread := selfreport.ReturnSpread(f.GatewaysPerServer(s.Service, s.Role), r.RetryAfter)
-	late := time.Duration(float64(spread) * float64(s.rank) / math.MaxUint64)
-	news := s.pause.Extend(r.Received, r.RetryAfter, late)
+	offset := time.Duration(float64(spread) * float64(s.rank) / math.MaxUint64)
+	changed := s.pause.Extend(r.Received, r.RetryAfter, offset)
 	f.groups = nil
-	return news
+	return changed
 }
 
 // noteLeaving takes that a server leaves, as a report that it drains; false if that is known.
-func (f *Fleet) noteLeaving(now time.Time, s *Server) bool {
+func (f *Fleet) markLeaving(now time.Time, s *Server) bool {
 	if s.gone || s.State != registry.Ready {
 		return false
 	}
-	s.State, s.leavingAt = registry.Draining, now
-	s.saidLeaving, s.toldLeaving = true, false
+	s.State, s.leavingSince = registry.Draining, now
+	s.leavingReported, s.leavingSent = true, false
 	f.groups = nil
 	return true
 }
@@ -73,8 +73,8 @@
 func (f *Fleet) UnsentLeaving() []registry.Server {
 	var out []registry.Server
 	for _, s := range f.servers {
-		if s.saidLeaving && !s.toldLeaving {
-			s.toldLeaving = true
+		if s.leavingReported && !s.leavingSent {
+			s.leavingSent = true
 			out = append(out, registry.Server{ID: s.ID, State: registry.Draining})
 		}
 	}
@@ -84,7 +84,7 @@
 // RetellLeaving has another replica of control told of the servers that leave.
 func (f *Fleet) ResendLeaving() {
 	for _, s := range f.servers {
-		s.toldLeaving = false
+		s.leavingSent = false
 	}
 }
 
@@ -128,16 +128,16 @@
 // from a pause; false if some server wants no pause, or there is none at all. One that is back, and
 // takes few requests at first, counts as back at once.
 func (f *Fleet) MinPauseRemaining(now time.Time, w Work, role string) (time.Duration, bool) {
-	least, found := time.Duration(math.MaxInt64), false
+	shortest, found := time.Duration(math.MaxInt64), false
 	for _, s := range f.servers {
 		if s.Service != w.Service || s.Role != role || !s.inService(now) || !w.permits(s) {
 			continue
 		}
-		left := s.pause.Remaining(now)
-		if left == 0 && !s.pause.Ramping(now) {
+		remaining := s.pause.Remaining(now)
+		if remaining == 0 && !s.pause.Ramping(now) {
 			return 0, false
 		}
-		least, found = min(least, left), true
+		shortest, found = min(shortest, remaining), true
 	}
-	return least, found
+	return shortest, found
 }
--- a/dispatch/window.go
+++ b/dispatch/window.go
@@ -6,10 +6,10 @@
 // from the first use on, on the clock that is passed in.
 type window struct {
 	// part is the length of a part.
-	part  time.Duration
-	start time.Time
+	bucketTime time.Duration
+	start      time.Time
 	// parts hold the counts, each with the number of its part, from one on.
-	parts []counts
+	buckets []counts
 }
 
 type counts struct {
@@ -18,8 +18,8 @@
 }
 
 // newWindow returns a window of some parts.
-func newWindow(parts int, part time.Duration) window {
-	return window{part: part, parts: make([]counts, parts)}
+func newWindow(buckets int, bucketTime time.Duration) window {
+	return window{bucketTime: bucketTime, buckets: make([]counts, buckets)}
 }
 
 // at returns the counts of the part that a time lies in.
@@ -27,8 +27,8 @@
 	if w.start.IsZero() {
 		w.start = now
 	}
-	number := 1 + int64(now.Sub(w.start)/w.part)
-	c := &w.parts[number%int64(len(w.parts))]
+	number := 1 + int64(now.Sub(w.start)/w.bucketTime)
+	c := &w.buckets[number%int64(len(w.buckets))]
 	if c.number != number {
 		*c = counts{number: number}
 	}
@@ -40,9 +40,9 @@
 	if w.start.IsZero() {
 		return 0, 0
 	}
-	newest := 1 + int64(now.Sub(w.start)/w.part)
-	for _, c := range w.parts {
-		if c.number > 0 && newest-c.number < int64(len(w.parts)) {
+	newest := 1 + int64(now.Sub(w.start)/w.bucketTime)
+	for _, c := range w.buckets {
+		if c.number > 0 && newest-c.number < int64(len(w.buckets)) {
 			a, b = a+c.a, b+c.b
 		}
 	}
