--- a/selfreport/pause.go
+++ b/selfreport/pause.go
@@ -2,47 +2,51 @@
 
 import "time"
 
-// Constants of pauses.
+// Constants of pauses and of the return after them.
 const (
-	// LongestPause bounds the time for which a server is believed to want no requests: one
-	// that names years by mistake is asked again.
+	// MaxPause bounds the pause that a server can ask for: one that asks for years by mistake
+	// is tried again.
 	MaxPause = time.Hour
-	// pauseNews is the least extension of a pause that is told as news: refusals of requests
-	// that were under way together extend it by some milliseconds each.
+	// minReportedExtension is the shortest extension of a pause that counts as a change:
+	// refusals of requests that were under way together extend the pause by some milliseconds
+	// each.
 	minReportedExtension = 500 * time.Millisecond
-	// returnTime is the time after a pause in which a gateway raises the number of requests
-	// that it has under way at the server.
+	// rampTime is the time after a pause in which a gateway raises the number of requests
+	// that it has open at the server.
 	rampTime = 2 * time.Second
-	// firstRequests is the number of requests that it has under way there until one is served,
-	// and mostRequests that from which on there is no bound.
+	// initialRequests is the number of open requests that a gateway allows until one is
+	// served; from maxRampRequests on there is no bound.
 	initialRequests = 1
 	maxRampRequests = 32
-	// spreadEach is the time by which gateways come back one after the other, and
-	// longestSpread the most for all of them together.
+	// spreadPerGateway is the delay between two gateways that return one after the other;
+	// maxSpread bounds the delay over all of them.
 	spreadPerGateway = 10 * time.Millisecond
 	maxSpread        = 2 * time.Second
 )
 
-// Pause is the time for which a server wants no requests of this gateway, by the Retry-After of
-// its refusals, and how the gateway comes back afterwards. The zero value is none.
+// Pause is the time for which a server has asked this gateway to send no requests, by the
+// Retry-After of its refusals, and how the gateway returns afterwards. The zero value is no
+// pause.
 type Pause struct {
-	// until is the latest end that was asked for, back when this gateway sends again.
+	// until is the latest end that the server asked for, resumeAt when this gateway sends
+	// again.
 	until, resumeAt time.Time
-	// freed tells that a call which frees something was sent in the pause.
+	// freeingSent is true once a call that frees something at the server was sent in the
+	// pause.
 	freeingSent bool
-	// allowed is the number of requests that may be under way of those that began after the
-	// pause, zero for no bound; begun is how many are.
+	// maxOpen bounds the number of open requests among those that began after the pause; zero
+	// for no bound. open is their number.
 	maxOpen, open int
 }
 
-// Spread returns the time over which gateways come back to a server after a pause.
+// ReturnSpread returns the time over which gateways return to a server after a pause.
 func ReturnSpread(gateways int, pause time.Duration) time.Duration {
 	return min(time.Duration(max(gateways-1, 0))*spreadPerGateway, maxSpread, pause/2)
 }
 
-// Ask takes that an answer, heard at a time, asks for a pause; late is how much later this gateway
-// comes back. A shorter one ends no longer one: both were asked for. It returns whether the pause
-// has begun, or is much longer now.
+// Extend records that an answer, received at the given time, asks for a pause of d; offset is
+// how much later this gateway returns. A shorter pause doesn't end a longer one, since the
+// server asked for both. It reports whether the pause has begun or is much longer now.
 func (p *Pause) Extend(received time.Time, d, offset time.Duration) bool {
 	until := received.Add(min(d, MaxPause))
 	if !until.After(p.until) {
@@ -56,14 +60,14 @@
 	return changed
 }
 
-// Lasts tells whether the server wants nothing now.
+// Active reports whether the server has asked for no requests now.
 func (p *Pause) Active(now time.Time) bool { return now.Before(p.until) }
 
-// Left returns how long this gateway still stays away; zero if it does not.
+// Remaining returns how long this gateway sends nothing to the server; zero if it may send.
 func (p *Pause) Remaining(now time.Time) time.Duration { return max(p.resumeAt.Sub(now), 0) }
 
-// Admits tells whether a request or call may be sent now. One call that frees something may be
-// sent in a pause: what it frees would stay held for nobody.
+// AdmitCall reports whether a request or call may be sent now. One call that frees something
+// may be sent in each pause: without it, the server would hold the resource for no caller.
 func (p *Pause) AdmitCall(now time.Time, frees bool) bool {
 	if !p.Active(now) {
 		return true
@@ -75,24 +79,26 @@
 	return true
 }
 
-// Allows tells whether the server may be chosen for one more request.
+// MayChoose reports whether the server may be chosen for one more request.
 func (p *Pause) MayChoose(now time.Time) bool {
 	return p.Remaining(now) == 0 && (!p.Ramping(now) || p.open < p.maxOpen)
 }
 
-// Returns tells whether the number of requests is bounded since a pause has ended.
+// Ramping reports whether the number of open requests is bounded because a pause has ended
+// recently.
 func (p *Pause) Ramping(now time.Time) bool {
 	return p.maxOpen > 0 && p.Remaining(now) == 0 && now.Sub(p.resumeAt) < rampTime
 }
 
-// Begin counts a request for which the server was chosen.
+// BeginRequest counts a request for which the server was chosen.
 func (p *Pause) BeginRequest(now time.Time) {
 	if p.Ramping(now) {
 		p.open++
 	}
 }
 
-// Served takes that the server has served a request. One that fails leaves the bound as it is.
+// RequestServed records that the server has served a request, which raises the bound. A
+// failed request leaves the bound as it is.
 func (p *Pause) RequestServed(now time.Time) {
 	if !p.Ramping(now) {
 		return
--- a/selfreport/report.go
+++ b/selfreport/report.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// Field names one thing that a server says of itself, for logs and metrics.
+// Field identifies one thing that a server reports about itself, in logs and metrics.
 type Field string
 
-// The fields.
+// The fields of a Report.
 const (
-	// Limit is the requests a second that the server takes from all gateways together.
+	// Limit is the number of requests a second that the server accepts from all gateways
+	// together.
 	Limit Field = "limit"
-	// RetryAfter is how long the server wants no requests of the gateway that it turns away.
+	// RetryAfter is how long the gateway that was rejected should send the server no
+	// requests.
 	RetryAfter Field = "retry_after"
-	// Leaving tells that the server takes no new work.
+	// Leaving means that the server accepts no new work.
 	Leaving Field = "leaving"
-	// Cold is how much longer the server bears fewer requests than usual.
+	// Cold is how much longer the server can serve only fewer requests than usual.
 	Cold Field = "cold"
 )
 
-// Fields are all of them.
+// Fields lists all fields.
 var Fields = []Field{Limit, RetryAfter, Leaving, Cold}
 
-// Report is what the head of one answer says of its server.
+// Report is what the head of one answer reports about its server.
 type Report struct {
-	// Sent is when the request went out, Heard when its answer came: the server said it in
-	// between.
+	// Sent is when the request was sent, Received when its answer arrived: the server wrote
+	// the report between the two.
 	Sent, Received time.Time
-	// Limit is in requests a second; nil if the answer names none, which ends a limit.
+	// Limit is in requests a second; nil if the answer has none, which ends a limit.
 	Limit *float64
-	// RetryAfter is zero if the server does not ask to be left alone.
+	// RetryAfter is zero if the server asks for no pause.
 	RetryAfter time.Duration
 	Leaving    bool
-	// Cold is nil if the answer does not tell.
+	// Cold is nil if the answer has no such field.
 	Cold *time.Duration
-	// Unread are the fields whose values can't be read. They change nothing.
+	// UnreadableFields are the fields whose values can't be parsed. They change nothing.
 	UnreadableFields []UnreadableField
 }
 
-// Unread is a field that can't be read.
+// UnreadableField is a field whose values can't be parsed.
 type UnreadableField struct {
 	Field  Field
 	Values []string
 }
 
-// Empty tells whether the answer says nothing.
+// Empty reports whether the answer has none of the fields.
 func (r *Report) Empty() bool {
 	return r.Limit == nil && r.RetryAfter == 0 && !r.Leaving && r.Cold == nil && len(r.UnreadableFields) == 0
 }
 
-// Unreadable tells whether a field is there and can't be read.
+// Unreadable reports whether a field is present and can't be parsed.
 func (r *Report) Unreadable(f Field) bool {
 	return slices.ContainsFunc(r.UnreadableFields, func(u UnreadableField) bool { return u.Field == f })
 }
 
-// Says returns the fields that the answer names and that can be read.
+// Fields returns the fields that are present and can be parsed.
 func (r *Report) Fields() []Field {
 	var out []Field
 	for _, f := range []struct {
