--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -29,12 +29,12 @@
 // CountWaiting returns the number of requests to a service that wait, and the priority of the
 // most urgent one.
 func (q *Queue) CountWaiting(service string) (n, priority int) {
-	for _, w := range q.list {
-		if w.Work.Service != service {
+	for _, r := range q.list {
+		if r.Work.Service != service {
 			continue
 		}
 		if n == 0 {
-			priority = w.Priority
+			priority = r.Priority
 		}
 		n++
 	}
@@ -42,8 +42,8 @@
 }
 
 // Add adds a request to the queue.
-func (q *Queue) Add(w *QueuedRequest) {
-	at, _ := slices.BinarySearchFunc(q.list, w, func(a, b *QueuedRequest) int {
+func (q *Queue) Add(r *QueuedRequest) {
+	at, _ := slices.BinarySearchFunc(q.list, r, func(a, b *QueuedRequest) int {
 		switch {
 		case a.Priority != b.Priority:
 			return cmp.Compare(a.Priority, b.Priority)
@@ -52,39 +52,39 @@
 		}
 		return -1
 	})
-	q.list = slices.Insert(q.list, at, w)
+	q.list = slices.Insert(q.list, at, r)
 }
 
 // Remove removes a request from the queue, if it is there.
-func (q *Queue) Remove(w *QueuedRequest) {
-	q.list = slices.DeleteFunc(q.list, func(o *QueuedRequest) bool { return o == w })
+func (q *Queue) Remove(r *QueuedRequest) {
+	q.list = slices.DeleteFunc(q.list, func(o *QueuedRequest) bool { return o == r })
 }
 
 // ServeQueue reserves engines for queued requests as long as the first of the queue finds
 // capacity, and calls placed for each. A request without capacity holds up those behind it,
 // so that a large prompt is not passed over for ever. A request for which there is capacity
 // only at engines that it has tried already holds up none, since it waits for another engine.
-func (f *Fleet) ServeQueue(now time.Time, q *Queue, placed func(w *QueuedRequest, p Pair)) {
+func (f *Fleet) ServeQueue(now time.Time, q *Queue, placed func(r *QueuedRequest, p Pair)) {
 	for at := 0; at < len(q.list); {
-		w := q.list[at]
-		p, ok := f.ChoosePair(now, w.Work, w.Engine, w.Avoid)
+		r := q.list[at]
+		p, ok := f.ChoosePair(now, r.Work, r.Engine, r.Avoid)
 		if !ok {
-			if len(w.Avoid) == 0 {
+			if len(r.Avoid) == 0 {
 				return
 			}
-			if _, anywhere := f.ChoosePair(now, w.Work, w.Engine, nil); !anywhere {
+			if _, anywhere := f.ChoosePair(now, r.Work, r.Engine, nil); !anywhere {
 				return
 			}
 			at++
 			continue
 		}
 		q.list = slices.Delete(q.list, at, at+1)
-		f.Reserve(p.Decode.ID, w.Work)
-		f.StartPrefill(p.PrefillServer().ID, w.Work)
+		f.Reserve(p.Decode.ID, r.Work)
+		f.StartPrefill(p.PrefillServer().ID, r.Work)
 		f.NoteSent(now, p.Decode.ID)
 		if p.Prefill != nil {
 			f.NoteSent(now, p.Prefill.ID)
 		}
-		placed(w, p)
+		placed(r, p)
 	}
 }
