--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -159,7 +159,7 @@
 )
 
 // search calls fits for some servers of a group, for different ones in each call. If none of
-// them fits, it goes on to the rest of the group, up to the number that a choice may look at.
+// them fits, it looks at more, up to the number that a choice may look at.
 func (f *Fleet) search(now time.Time, service, role string, fits func(s *Server) bool) {
 	list := f.group(now, service, role)
 	n := min(max(len(list)/choiceDivisor, minChoices), maxChoices)
--- a/dispatch/exclusion.go
+++ b/dispatch/exclusion.go
@@ -10,7 +10,7 @@
 // Rule identifies what excludes an engine for a request, in the log.
 type Rule string
 
-// The rules, in the order in which they are checked.
+// The rules. Exclusion.Rule gives precedence to the one closest to an acceptance.
 const (
 	// RuleNoEngine: no decode engine is known.
 	RuleNoEngine Rule = "no engine"
