--- a/gateway/await_server.go
+++ b/gateway/await_server.go
@@ -12,33 +12,33 @@
 )
 
 // lack is what a request to a plain service waits for, while no server of the service takes it.
-type lack int
+type waitReason int
 
 // The lacks.
 const (
 	// lackServer: no server is known.
-	lackServer lack = iota
+	waitForServer waitReason = iota
 	// lackToken: the servers name limits.
-	lackToken
+	waitForToken
 	// lackPause: the servers want no requests for a time.
-	lackPause
+	waitForPause
 )
 
 // lacks returns what a request waits for, and how long that is likely to take.
-func (f *fleet) lacks(q *request) (lack, time.Duration) {
-	if !f.limited.some.Load() && !f.paused.some.Load() {
-		return lackServer, 0
+func (f *fleet) waitReason(q *request) (waitReason, time.Duration) {
+	if !f.limited.present.Load() && !f.paused.present.Load() {
+		return waitForServer, 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	if f.view.LacksOnlyToken(now, q.work, q.tried) {
-		return lackToken, f.limited.wait(q.service.Name)
+		return waitForToken, f.limited.expectedWait(q.service.Name)
 	}
-	if left, ok := f.view.MinPauseRemaining(now, q.work, ""); ok {
-		return lackPause, left
+	if remaining, ok := f.view.MinPauseRemaining(now, q.work, ""); ok {
+		return waitForPause, remaining
 	}
-	return lackServer, 0
+	return waitForServer, 0
 }
 
 // serverWaiter is a request to a plain service that waits for a server to take it.
@@ -47,24 +47,24 @@
 	avoid    dispatch.Avoid
 	priority int
 	// due is when its answer is late.
-	due time.Time
-	got chan dispatch.Server
+	due      time.Time
+	assigned chan dispatch.Server
 }
 
 // awaitServer has a request wait for a server, if one is likely to take it in time: the most urgent
 // are served first, and of these those that are due first.
-func (g *Gateway) awaitServer(ctx context.Context, q *request, likely time.Duration) (dispatch.Server, bool) {
+func (g *Gateway) awaitServer(ctx context.Context, q *request, expected time.Duration) (dispatch.Server, bool) {
 	f := g.fleet
 	limit := q.route.Target/2 - g.clock.Since(q.arrived)
-	if likely > limit {
+	if expected > limit {
 		return dispatch.Server{}, false
 	}
-	w := &serverWaiter{work: q.work, avoid: q.tried, priority: q.organisation.PriorityFor(q.route), due: q.arrived.Add(q.route.Target), got: make(chan dispatch.Server, 1)}
+	w := &serverWaiter{work: q.work, avoid: q.tried, priority: q.organisation.PriorityFor(q.route), due: q.arrived.Add(q.route.Target), assigned: make(chan dispatch.Server, 1)}
 	f.mu.Lock()
 	f.limited.add(w)
-	f.servePlain()
+	f.servePlainQueue()
 	f.mu.Unlock()
-	return awaitPlace(ctx, w.got, limit, func() {
+	return awaitAssignment(ctx, w.assigned, limit, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.limited.remove(w)
@@ -72,7 +72,7 @@
 }
 
 // wait returns how long a request that comes now is likely to wait for a token.
-func (s *limitedServers) wait(service string) time.Duration {
+func (s *limitedServers) expectedWait(service string) time.Duration {
 	supply := s.supply[service]
 	if supply.Rate <= 0 {
 		return math.MaxInt64
@@ -92,20 +92,20 @@
 }
 
 // servePlain places the requests that wait for a server. Callers hold the lock.
-func (f *fleet) servePlain() {
+func (f *fleet) servePlainQueue() {
 	now := f.clock.Now()
 	f.limited.waiting = slices.DeleteFunc(f.limited.waiting, func(w *serverWaiter) bool {
 		s := f.view.ChoosePlain(now, w.work, w.avoid)
 		if s == nil {
 			return false
 		}
-		w.got <- f.begin(now, s)
+		w.assigned <- f.startRequest(now, s)
 		return true
 	})
 }
 
 // begin counts a request at a plain server that was chosen. Callers hold the lock.
-func (f *fleet) begin(now time.Time, s *dispatch.Server) dispatch.Server {
+func (f *fleet) startRequest(now time.Time, s *dispatch.Server) dispatch.Server {
 	s.Open++
 	f.view.NoteSent(now, s.ID)
 	return *s
@@ -113,23 +113,23 @@
 
 // Bounds of the time after which a caller comes back that found no token.
 const (
-	leastLimitedRetry = 100 * time.Millisecond
-	mostLimitedRetry  = 2 * time.Second
+	minLimitedRetry = 100 * time.Millisecond
+	maxLimitedRetry = 2 * time.Second
 )
 
 // refuseForNow refuses a request that no server of its service takes now.
-func (g *Gateway) refuseForNow(w http.ResponseWriter, q *request, why lack, wait time.Duration) {
+func (g *Gateway) refuseTemporarily(w http.ResponseWriter, q *request, reason waitReason, wait time.Duration) {
 	r := refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the servers take no more requests now"}
-	if why == lackPause {
+	if reason == waitForPause {
 		r.reason = "the servers want no requests now"
-		r.retryAfter = spread(max(wait, leastLimitedRetry))
+		r.retryAfter = jitter(max(wait, minLimitedRetry))
 		g.refuse(w, q.id, r)
 		return
 	}
-	most := mostLimitedRetry
+	longest := maxLimitedRetry
 	if q.route.Target > 0 {
-		most = max(q.route.Target/2, leastLimitedRetry)
+		longest = max(q.route.Target/2, minLimitedRetry)
 	}
-	r.retryAfter = spread(min(max(wait, leastLimitedRetry), most))
+	r.retryAfter = jitter(min(max(wait, minLimitedRetry), longest))
 	g.refuse(w, q.id, r)
 }
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -10,8 +10,8 @@
 
 // Errors of what is not held for a caller.
 var (
-	errTooLarge = errors.New("gateway: the body is too large")
-	errNoMemory = errors.New("gateway: no memory for what is to be held")
+	errBodyTooLarge = errors.New("gateway: the body is too large")
+	errNoMemory     = errors.New("gateway: no memory for what is to be held")
 )
 
 // readBody reads a body of at most limit bytes, no limit if it is zero, for which there must be
@@ -21,7 +21,7 @@
 		limit = 1 << 30
 	}
 	if r.ContentLength > limit {
-		return nil, errTooLarge
+		return nil, errBodyTooLarge
 	}
 	if r.ContentLength >= 0 {
 		if !memory.TryReserve(r.ContentLength) {
@@ -39,7 +39,7 @@
 	var body []byte
 	for {
 		if len(body) == cap(body) {
-			grown := max(int64(2*cap(body)), firstPart)
+			grown := max(int64(2*cap(body)), firstReadSize)
 			if !memory.TryReserve(grown - int64(cap(body))) {
 				return nil, errNoMemory
 			}
@@ -49,7 +49,7 @@
 		body = body[:len(body)+n]
 		switch {
 		case int64(len(body)) > limit:
-			return nil, errTooLarge
+			return nil, errBodyTooLarge
 		case errors.Is(err, io.EOF):
 			return body, nil
 		case err != nil:
@@ -59,7 +59,7 @@
 }
 
 func bodyRefusal(err error) *refusal {
-	if errors.Is(err, errTooLarge) {
+	if errors.Is(err, errBodyTooLarge) {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body too large", closing: true}
 	}
 	return &refusal{status: http.StatusBadRequest, reason: "the body could not be read", closing: true}
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -23,13 +23,13 @@
 	if c.ContentType != "" {
 		r.Header.Set("Content-Type", c.ContentType)
 	}
-	r.MaxConnections = connectionShare(q.service.MaxConnections, g.fleet.sharing(s))
+	r.MaxConnections = connectionShare(q.service.MaxConnections, g.fleet.gatewaysPerServer(s))
 	return r
 }
 
 // outlive returns a context for a call that makes something at an engine, which has to be freed if
 // the caller leaves meanwhile. It ends with the gateway, and after a time.
-func (g *Gateway) outlive(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+func (g *Gateway) detachedContext(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	stop := context.AfterFunc(g.ctx, cancel)
 	return ctx, func() {
@@ -48,7 +48,7 @@
 		}
 		return result{kind: broken, err: err}, nil
 	}
-	if res, ok := g.turnedAway(q, s, a); ok {
+	if res, ok := g.rejected(q, s, a); ok {
 		return res, nil
 	}
 	body, err := a.ReadAll(maxAnswer)
@@ -59,12 +59,12 @@
 }
 
 // giveBackTime is how long an engine may take to free what nobody uses.
-const giveBackTime = 300 * time.Millisecond
+const freeTimeout = 300 * time.Millisecond
 
 // giveBack sends a call that frees something at an engine. It outlives the
 // request that it belongs to, whose caller may have left. Where nothing more is sent, what is
 // not used lapses by itself.
-func (n *generation) giveBack(s *dispatch.Server, c backend.Call) {
+func (n *generation) freeInBackground(s *dispatch.Server, c backend.Call) {
 	g := n.g
 	if g.evacuated.has(s.Zone) {
 		return
@@ -72,7 +72,7 @@
 	r := n.callTo(s, c)
 	r.Frees = true
 	g.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(g.ctx, giveBackTime)
+		ctx, cancel := context.WithTimeout(g.ctx, freeTimeout)
 		defer cancel()
 		if a, err := g.pool.Do(ctx, &g.cfg.Protocol.Headers, r); err == nil {
 			_, _ = a.ReadAll(maxAnswer)
--- a/gateway/look.go
+++ b/gateway/check_server.go
@@ -16,10 +16,10 @@
 const (
 	// lookTime is how long a server may take to show that it is there; one that is there
 	// takes some milliseconds, but a health check may wait for a slot.
-	lookTime = 300 * time.Millisecond
+	checkTimeout = 300 * time.Millisecond
 	// lookAgain is the time between two looks at a server that resets what it gets: one
 	// with too many connections takes new ones again by then, one that has ended does not.
-	lookAgain = 100 * time.Millisecond
+	recheckDelay = 100 * time.Millisecond
 )
 
 var errRestarted = errors.New("gateway: the server has started again")
@@ -27,41 +27,41 @@
 // lookAfter finds out whether a server has ended under a request that broke off there, some
 // time after it was sent. A connection that broke alone, as by a reset on the way, says
 // nothing of the request.
-func (g *Gateway) lookAfter(q *request, s *dispatch.Server, ran time.Duration) {
-	made, broke := q.work.Generated, g.contents.note(q, s.ID, ran)
+func (g *Gateway) checkAfterFailure(q *request, s *dispatch.Server, elapsed time.Duration) {
+	generated, failure := q.work.Generated, g.contents.noteInterrupted(q, s.ID, elapsed)
 	done := make(chan struct{})
-	q.looked = done
+	q.checked = done
 	g.wg.Go(func() {
 		defer close(done)
-		err := g.look(q, s)
+		err := g.checkServer(q, s)
 		if err == nil || g.ctx.Err() != nil {
 			return
 		}
-		event.ServerEnded.Log(g.log, "id", q.id, "content", broke.content.String(), "server", s.StableName(), "phase", s.Role, "made", made, "error", err)
-		g.contents.ended(broke, s.ID)
+		event.ServerEnded.Log(g.log, "id", q.id, "content", failure.content.String(), "server", s.StableName(), "phase", s.Role, "made", generated, "error", err)
+		g.contents.noteCrash(failure, s.ID)
 	})
 }
 
 // look returns why a server is not there any more; nil if it is, or if that is not known.
-func (g *Gateway) look(q *request, s *dispatch.Server) error {
-	if g.fleet.ended(s.ID) {
+func (g *Gateway) checkServer(q *request, s *dispatch.Server) error {
+	if g.fleet.replaced(s.ID) {
 		return errRestarted
 	}
 	if g.evacuated.has(s.Zone) {
 		return nil // it gets nothing more, not even a question
 	}
-	err := g.askState(q, s)
+	err := g.probe(q, s)
 	if backend.WasSent(err) {
-		wait.For(g.ctx, lookAgain)
-		err = g.askState(q, s)
+		wait.For(g.ctx, recheckDelay)
+		err = g.probe(q, s)
 	}
 	return err
 }
 
 // askState asks a server for its state, or for its health if it is no engine. A connection
 // alone shows little: what stands before a server may take it in its place.
-func (g *Gateway) askState(q *request, s *dispatch.Server) error {
-	ctx, cancel := context.WithTimeout(g.ctx, lookTime)
+func (g *Gateway) probe(q *request, s *dispatch.Server) error {
+	ctx, cancel := context.WithTimeout(g.ctx, checkTimeout)
 	defer cancel()
 	p := &g.cfg.Protocol
 	call := backend.Call{Method: http.MethodGet, Path: q.service.HealthPath}
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -29,16 +29,16 @@
 // lookWait is how long a request that may go to a further server waits for the look at the
 // one before: a server that is there, and a port that is closed, answer in some
 // milliseconds, and one that says nothing is not waited for.
-const lookWait = 20 * time.Millisecond
+const checkWait = 20 * time.Millisecond
 
 // mayGo tells whether a request may go to a server, as far as its content is concerned.
-func (g *Gateway) mayGo(q *request) bool {
-	if q.looked != nil {
+func (g *Gateway) contentAllowed(q *request) bool {
+	if q.checked != nil {
 		select {
-		case <-q.looked:
-		case <-time.After(g.lookWait):
+		case <-q.checked:
+		case <-time.After(g.checkWait):
 		}
-		q.looked = nil
+		q.checked = nil
 	}
 	return g.contents.blocked(q) == 0
 }
@@ -50,62 +50,62 @@
 	mu    sync.Mutex
 	table *poison.Table
 	// broke are the contents that broke off of late at each start of a server, and when.
-	broke map[string][]brokeOff
+	interrupted map[string][]interruption
 	// toldTo is the link over which a replica was told, and told the change up to which.
-	toldTo *wire.Link
-	told   uint64
+	sentTo   *wire.Link
+	sentUpTo uint64
 }
 
 func newContents(c *clock.Clock, log *slog.Logger) *contents {
-	return &contents{clock: c, log: log, table: poison.NewTable(), broke: map[string][]brokeOff{}}
+	return &contents{clock: c, log: log, table: poison.NewTable(), interrupted: map[string][]interruption{}}
 }
 
 // brokeOff is a request that broke off at a server, some time after it was sent.
-type brokeOff struct {
+type interruption struct {
 	content poison.Digest
 	at      time.Time
-	ran     time.Duration
+	elapsed time.Duration
 }
 
 // brokeFor is how long after a request broke off a later start of its server shows that the
 // server ended under it: servers that crash are back after some seconds.
-const brokeFor = 10 * time.Second
+const crashWindow = 10 * time.Second
 
 // note notes that a request breaks off at a start of a server now, some time after it was
 // sent there.
-func (c *contents) note(q *request, server string, ran time.Duration) brokeOff {
-	b := brokeOff{content: q.content(), at: c.clock.Now(), ran: ran}
+func (c *contents) noteInterrupted(q *request, server string, elapsed time.Duration) interruption {
+	intr := interruption{content: q.content(), at: c.clock.Now(), elapsed: elapsed}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broke[server] = append(c.broke[server], b)
-	return b
+	c.interrupted[server] = append(c.interrupted[server], intr)
+	return intr
 }
 
 // restarted takes that a start of a server has been replaced, which ended what broke off
 // there.
-func (c *contents) restarted(server string) {
+func (c *contents) noteRestart(server string) {
 	c.mu.Lock()
-	list := c.broke[server]
-	delete(c.broke, server)
+	list := c.interrupted[server]
+	delete(c.interrupted, server)
 	c.mu.Unlock()
-	for _, b := range list {
-		if c.clock.Since(b.at) < brokeFor {
-			c.ended(b, server)
+	for _, intr := range list {
+		if c.clock.Since(intr.at) < crashWindow {
+			c.noteCrash(intr, server)
 		}
 	}
 }
 
 // ended notes that a server has ended under a request that broke off there.
-func (c *contents) ended(b brokeOff, server string) {
+func (c *contents) noteCrash(intr interruption, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.table.RecordEnding(c.clock.Now(), b.content, server, b.at, b.ran) {
-		event.ContentBlocked.Log(c.log, "content", b.content.String())
+	if c.table.RecordEnding(c.clock.Now(), intr.content, server, intr.at, intr.elapsed) {
+		event.ContentBlocked.Log(c.log, "content", intr.content.String())
 	}
 }
 
 // take takes what a replica tells.
-func (c *contents) take(list []poison.Record) {
+func (c *contents) merge(list []poison.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range c.table.Merge(c.clock.Now(), list) {
@@ -114,7 +114,7 @@
 }
 
 // ran notes a request that has run to its end.
-func (c *contents) ran(q *request) {
+func (c *contents) noteCompleted(q *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Len() > 0 {
@@ -134,14 +134,14 @@
 
 // untold returns what a replica has not been told over a link: all, over a new one, since
 // the replica may have started anew.
-func (c *contents) untold(l *wire.Link) []poison.Record {
+func (c *contents) unsent(l *wire.Link) []poison.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.toldTo != l {
-		c.toldTo, c.told = l, 0
+	if c.sentTo != l {
+		c.sentTo, c.sentUpTo = l, 0
 	}
-	out, told := c.table.Since(c.clock.Now(), c.told, 1)
-	c.told = told
+	out, sent := c.table.Since(c.clock.Now(), c.sentUpTo, 1)
+	c.sentUpTo = sent
 	return out
 }
 
@@ -149,9 +149,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.Sweep(now)
-	for server, list := range c.broke {
-		if now.Sub(list[len(list)-1].at) >= brokeFor {
-			delete(c.broke, server)
+	for server, list := range c.interrupted {
+		if now.Sub(list[len(list)-1].at) >= crashWindow {
+			delete(c.interrupted, server)
 		}
 	}
 }
@@ -167,6 +167,6 @@
 
 // refuseContent refuses a request for its content. That it has not run is true of this try
 // of its caller; the caller is told when it is tried again.
-func (q *request) refuseContent(left time.Duration) refusal {
-	return refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the request ends the servers that run it", retryAfter: left}
+func (q *request) refuseContent(remaining time.Duration) refusal {
+	return refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the request ends the servers that run it", retryAfter: remaining}
 }
--- a/gateway/decode.go
+++ b/gateway/decode.go
@@ -16,19 +16,19 @@
 // one takes the KV cache while it lives. Engines that can't be reached cost
 // nothing but the try, so as many are tried as there is time for: a good part of
 // them may have gone at once.
-func (n *generation) elsewhere(ctx context.Context, r result) result {
-	for n.g.clock.Since(n.kvAt) < n.q.service.Engine.KVHold-kvMargin {
+func (n *generation) decodeElsewhere(ctx context.Context, r result) result {
+	for n.g.clock.Since(n.kvReadyAt) < n.q.service.Engine.KVHold-kvMargin {
 		n.q.tried[n.pair.Decode.ID] = true
-		n.unbook()
-		s, ok := n.g.fleet.move(n.q.work, n.q.service.Engine, n.kvFrom.Zone, n.q.tried)
+		n.releaseReservations()
+		s, ok := n.g.fleet.reserveDecode(n.q.work, n.q.service.Engine, n.kvSource.Zone, n.q.tried)
 		if !ok {
 			return r
 		}
-		n.booked, n.pair.Decode = s.ID, &s
-		if !n.takeHold(ctx) {
+		n.decodeReserved, n.pair.Decode = s.ID, &s
+		if !n.acquireHold(ctx) {
 			continue
 		}
-		if n.decodes > 0 && !n.g.again(n.q, r, 1) {
+		if n.decodes > 0 && !n.g.mayResend(n.q, r, 1) {
 			return r
 		}
 		if r = n.decode(ctx, &s, true); r.kind != notSent {
@@ -44,29 +44,29 @@
 	started := g.clock.Now()
 	r := n.sendTo(s)
 	if withKV {
-		r.Header.Set(h.KVSource, n.kvFrom.Address+"/"+n.kv.Handle)
+		r.Header.Set(h.KVSource, n.kvSource.Address+"/"+n.kv.Handle)
 	}
 	if n.hold != "" {
 		r.Header.Set(h.Hold, n.hold)
 	}
-	n.resumeAt(r.Header)
+	n.setLastEventID(r.Header)
 	a, err := g.pool.Do(ctx, h, r)
 	if err != nil {
-		res := g.failed(ctx, q, err)
+		res := g.classifyError(ctx, q, err)
 		if res.kind != notSent {
 			n.decodes++
 		}
-		g.fleet.note(s.ID, outcomeOf(ctx, res), 0)
+		g.fleet.noteOutcome(s.ID, outcomeOf(ctx, res), 0)
 		g.noteSend(ctx, q, s, res, g.clock.Since(started))
 		return res
 	}
 	defer func() { a.Close() }()
 	n.decodes++
-	if res, ok := g.turnedAway(q, s, a); ok {
+	if res, ok := g.rejected(q, s, a); ok {
 		if res.kind == notRun {
 			n.handover.RefusedBy = append(n.handover.RefusedBy, s.ID)
 		}
-		g.fleet.note(s.ID, outcomeOf(ctx, res), 0)
+		g.fleet.noteOutcome(s.ID, outcomeOf(ctx, res), 0)
 		g.noteSend(ctx, q, s, res, g.clock.Since(started))
 		return res
 	}
@@ -74,20 +74,20 @@
 	n.handover.AcceptedBy = s.ID
 	g.fleet.noteHandover(n.handover)
 	q.sends++
-	g.ran(q)
+	g.noteMayHaveRun(q)
 	if !g.isStream(a) {
-		return n.failedAnswer(ctx, s, a)
+		return n.nonStreamAnswer(ctx, s, a)
 	}
-	n.mover.stopped = false
+	n.migrations.stopped = false
 	s, a, err = n.relay(ctx, s, a)
 	if err == nil {
-		g.fleet.note(s.ID, dispatch.Success, g.clock.Since(started))
-		g.contents.ran(q)
-		n.done(s, a.Status)
+		g.fleet.noteOutcome(s.ID, dispatch.Success, g.clock.Since(started))
+		g.contents.noteCompleted(q)
+		n.finish(s, a.Status)
 		return result{kind: answered, status: a.Status}
 	}
 	res := result{kind: broken, err: err}
-	g.fleet.note(s.ID, outcomeOf(ctx, res), 0)
+	g.fleet.noteOutcome(s.ID, outcomeOf(ctx, res), 0)
 	g.noteSend(ctx, q, s, res, g.clock.Since(started))
 	return res
 }
@@ -98,26 +98,26 @@
 }
 
 // done notes the end of a whole stream.
-func (n *generation) done(s *dispatch.Server, status int) {
+func (n *generation) finish(s *dispatch.Server, status int) {
 	name, stream := n.q.route.Name, n.stream
-	n.g.fleet.noteRun(n.q.service.Name, n.g.clock.Since(n.q.arrived), max(stream.firstAt.Sub(n.placedAt), 0), n.g.clock.Since(stream.firstAt), stream.events*n.q.service.Engine.EventTokens)
+	n.g.fleet.noteRun(n.q.service.Name, n.g.clock.Since(n.q.arrived), max(stream.firstAt.Sub(n.reservedAt), 0), n.g.clock.Since(stream.firstAt), stream.events*n.q.service.Engine.EventTokens)
 	first, prefill := stream.firstAt.Sub(n.q.arrived), time.Duration(0)
-	if !n.kvAt.IsZero() {
-		prefill = n.kvAt.Sub(n.q.arrived)
+	if !n.kvReadyAt.IsZero() {
+		prefill = n.kvReadyAt.Sub(n.q.arrived)
 		metric.RoutePrefill.WithLabelValues(name).Observe(prefill.Seconds())
 	}
 	metric.RouteRequests.WithLabelValues(name, strconv.Itoa(status)).Inc()
 	metric.RouteFirst.WithLabelValues(name).Observe(first.Seconds())
 	metric.RouteGap.WithLabelValues(name).Observe(stream.gap.Seconds())
 	event.RequestDone.Log(n.g.log, "id", n.q.id, "route", name, "status", status, "ms", n.g.clock.Since(n.q.arrived).Milliseconds(),
-		"first_ms", first.Milliseconds(), "gap_ms", stream.gap.Milliseconds(), "prefill", n.kvFrom.StableName(), "decode", s.StableName(),
-		"prefill_ms", prefill.Milliseconds(), "rounds", n.prefills, "migrations", n.mover.count)
+		"first_ms", first.Milliseconds(), "gap_ms", stream.gap.Milliseconds(), "prefill", n.kvSource.StableName(), "decode", s.StableName(),
+		"prefill_ms", prefill.Milliseconds(), "rounds", n.prefills, "migrations", n.migrations.count)
 }
 
 // failedAnswer takes an answer of an engine that is no stream.
-func (n *generation) failedAnswer(ctx context.Context, s *dispatch.Server, a *backend.Answer) result {
-	n.g.fleet.note(s.ID, dispatch.Failure, 0)
-	body, err := readWhole(ctx, n.q.memory, a)
+func (n *generation) nonStreamAnswer(ctx context.Context, s *dispatch.Server, a *backend.Answer) result {
+	n.g.fleet.noteOutcome(s.ID, dispatch.Failure, 0)
+	body, err := readAnswer(ctx, n.q.memory, a)
 	if err != nil || a.Status < http.StatusMultipleChoices || n.stream.started {
 		return result{kind: broken, err: err}
 	}
@@ -125,7 +125,7 @@
 }
 
 // resumeAt asks for the events after the last one that the caller has.
-func (n *generation) resumeAt(head http.Header) {
+func (n *generation) setLastEventID(head http.Header) {
 	if last := n.stream.order.Last(); last != "" {
 		head.Set(n.g.cfg.Protocol.Headers.LastEventID, last)
 	}
--- a/gateway/evacuated.go
+++ b/gateway/evacuated.go
@@ -11,7 +11,7 @@
 )
 
 // evacuated is the availability zones that get no new work, as the replicas told last.
-type evacuated struct {
+type evacuatedZones struct {
 	mu     sync.RWMutex
 	number uint64
 	zones  map[string]fleetstate.EvacuatedZone
@@ -19,7 +19,7 @@
 
 // take takes what a replica tells, unless a later report is known. It returns the zones that
 // are evacuated now and were not, and those that may get work again.
-func (e *evacuated) take(m *wire.Evacuated) (begun, finished []string, news bool) {
+func (e *evacuatedZones) update(m *wire.Evacuated) (started, finished []string, changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m.Number <= e.number {
@@ -30,7 +30,7 @@
 	for _, z := range m.Zones {
 		e.zones[z.Zone] = z
 		if _, known := before[z.Zone]; !known {
-			begun = append(begun, z.Zone)
+			started = append(started, z.Zone)
 		}
 	}
 	for zone := range before {
@@ -38,18 +38,18 @@
 			finished = append(finished, zone)
 		}
 	}
-	return begun, finished, true
+	return started, finished, true
 }
 
 // has tells whether a zone gets no new work.
-func (e *evacuated) has(zone string) bool {
+func (e *evacuatedZones) has(zone string) bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	_, ok := e.zones[zone]
 	return ok
 }
 
-func (e *evacuated) list() []fleetstate.EvacuatedZone {
+func (e *evacuatedZones) list() []fleetstate.EvacuatedZone {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	var out []fleetstate.EvacuatedZone
@@ -61,13 +61,13 @@
 }
 
 // takeEvacuated follows what a replica tells of evacuations.
-func (g *Gateway) takeEvacuated(m *wire.Evacuated) {
-	begun, finished, news := g.evacuated.take(m)
-	if !news {
+func (g *Gateway) updateEvacuated(m *wire.Evacuated) {
+	started, finished, changed := g.evacuated.update(m)
+	if !changed {
 		return
 	}
-	g.fleet.evacuate(g.evacuated.names())
-	for _, zone := range begun {
+	g.fleet.setEvacuated(g.evacuated.names())
+	for _, zone := range started {
 		event.ZoneEvacuated.Log(g.log, "zone", zone)
 	}
 	for _, zone := range finished {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (e *evacuated) names() []string {
+func (e *evacuatedZones) names() []string {
 	var out []string
 	for _, z := range e.list() {
 		out = append(out, z.Zone)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -22,7 +22,7 @@
 	kind   resultKind
 	status int
 	header http.Header
-	body   heldAnswer
+	body   bufferedAnswer
 	err    error
 }
 
@@ -55,16 +55,16 @@
 		var ok bool
 		if len(q.tried) == 0 {
 			if s, ok = g.firstServer(ctx, q); !ok {
-				g.noServer(w, q)
+				g.refuseNoServer(w, q)
 				return
 			}
 		} else if s, ok = g.nextServer(q); !ok {
 			break
 		}
 		started := g.clock.Now()
-		last.body.drop(q.memory)
+		last.body.release(q.memory)
 		last = g.send(ctx, q, &s)
-		g.fleet.done(s.ID, outcomeOf(ctx, last), g.clock.Since(started))
+		g.fleet.endRequest(s.ID, outcomeOf(ctx, last), g.clock.Since(started))
 		g.noteSend(ctx, q, &s, last, g.clock.Since(started))
 		if ctx.Err() == context.Canceled {
 			event.CallerGone.Log(g.log, "id", q.id)
@@ -73,7 +73,7 @@
 		if last.kind == answered && last.status < http.StatusInternalServerError {
 			break
 		}
-		if !g.mayGo(q) {
+		if !g.contentAllowed(q) {
 			break
 		}
 		q.tried[s.ID] = true
@@ -83,7 +83,7 @@
 			}
 			continue
 		}
-		if !g.again(q, last, 1) {
+		if !g.mayResend(q, last, 1) {
 			break
 		}
 	}
@@ -92,9 +92,9 @@
 
 // again decides whether a request goes to another server, which takes a number
 // of sends.
-func (g *Gateway) again(q *request, last result, sends int) bool {
-	const leastLeft = 20 * time.Millisecond
-	if q.left() < leastLeft {
+func (g *Gateway) mayResend(q *request, last result, sends int) bool {
+	const minRemaining = 20 * time.Millisecond
+	if q.remaining() < minRemaining {
 		return false
 	}
 	switch last.kind {
@@ -104,43 +104,43 @@
 			return false
 		}
 	}
-	return g.fleet.retry(q.service.Name, sends)
+	return g.fleet.reserveRetries(q.service.Name, sends)
 }
 
 // send sends a request to one server and reads the whole answer.
 func (g *Gateway) send(ctx context.Context, q *request, s *dispatch.Server) result {
 	h := &g.cfg.Protocol.Headers
-	limit := q.left()
+	limit := q.remaining()
 	if q.route.Repeatable() && q.sends+1 < q.route.Attempts {
-		limit = min(limit, tryLimit(q.route))
+		limit = min(limit, attemptTimeout(q.route))
 	}
 	tryCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	r := q.to(h, s, limit, g.fleet.sharing(s))
+	r := q.toServer(h, s, limit, g.fleet.gatewaysPerServer(s))
 	r.Fresh = q.route.Kind == route.Once
 	a, err := g.pool.Do(tryCtx, h, r)
 	if err != nil {
-		return g.failed(tryCtx, q, err)
+		return g.classifyError(tryCtx, q, err)
 	}
 	q.sends++
-	if res, ok := g.turnedAway(q, s, a); ok {
+	if res, ok := g.rejected(q, s, a); ok {
 		return res
 	}
-	g.ran(q)
-	body, err := readWhole(tryCtx, q.memory, a)
+	g.noteMayHaveRun(q)
+	body, err := readAnswer(tryCtx, q.memory, a)
 	if err != nil {
-		return g.failed(tryCtx, q, &backend.Error{Sent: true, Cause: err})
+		return g.classifyError(tryCtx, q, &backend.Error{Sent: true, Cause: err})
 	}
 	if a.Status < http.StatusMultipleChoices && a.Header.Get(h.Signature) == "" {
 		return result{kind: broken, err: errors.New("a success without a signature")}
 	}
-	g.contents.ran(q)
+	g.contents.noteCompleted(q)
 	return result{kind: answered, status: a.Status, header: a.Header, body: body}
 }
 
 // tryLimit is how long one server may take for a request that may go to
 // another one: beyond the target it is late anyway.
-func tryLimit(r *route.Route) time.Duration {
+func attemptTimeout(r *route.Route) time.Duration {
 	if r.Target <= 0 {
 		return r.Timeout
 	}
@@ -148,11 +148,11 @@
 }
 
 // turnedAway reads an answer that says that the request did not run.
-func (g *Gateway) turnedAway(q *request, s *dispatch.Server, a *backend.Answer) (result, bool) {
+func (g *Gateway) rejected(q *request, s *dispatch.Server, a *backend.Answer) (result, bool) {
 	h := &g.cfg.Protocol.Headers
 	if a.Status == http.StatusMisdirectedRequest {
 		a.Close()
-		g.fleet.gone(s.ID)
+		g.fleet.markGone(s.ID)
 		g.pool.Forget(s.Address)
 		return result{kind: misdirected, status: a.Status}, true
 	}
@@ -164,13 +164,13 @@
 }
 
 // failed sorts a send that has no whole answer.
-func (g *Gateway) failed(ctx context.Context, q *request, err error) result {
+func (g *Gateway) classifyError(ctx context.Context, q *request, err error) result {
 	var be *backend.Error
 	if errors.As(err, &be) && !be.Sent {
 		return result{kind: notSent, err: err}
 	}
 	q.sends++
-	g.ran(q)
+	g.noteMayHaveRun(q)
 	// The connection's deadline may be seen before the context's.
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return result{kind: late, err: err}
@@ -211,9 +211,9 @@
 
 // noServer answers a request of a service that has no server, as in the second
 // after a restart.
-func (g *Gateway) noServer(w http.ResponseWriter, q *request) {
-	if lack, wait := g.fleet.lacks(q); lack != lackServer {
-		g.refuseForNow(w, q, lack, wait)
+func (g *Gateway) refuseNoServer(w http.ResponseWriter, q *request) {
+	if reason, wait := g.fleet.waitReason(q); reason != waitForServer {
+		g.refuseTemporarily(w, q, reason, wait)
 		return
 	}
 	event.NoServer.Log(g.log, "id", q.id, "service", q.service.Name, "known", len(g.fleet.list()))
@@ -226,10 +226,10 @@
 func (g *Gateway) conclude(w http.ResponseWriter, q *request, last result) {
 	switch {
 	case last.kind == answered && last.status != 0:
-		g.pass(w, q, last)
+		g.passAnswer(w, q, last)
 	case !q.mayHaveRun:
-		if wait, ok := g.fleet.awaitsPause(q.work, ""); ok {
-			g.refuseForNow(w, q, lackPause, wait)
+		if wait, ok := g.fleet.minPauseRemaining(q.work, ""); ok {
+			g.refuseTemporarily(w, q, waitForPause, wait)
 			return
 		}
 		g.refuse(w, q.id, refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "no server takes the request now", retryAfter: busyRetry})
@@ -241,8 +241,8 @@
 }
 
 // pass gives the caller a server's whole answer, unchanged.
-func (g *Gateway) pass(w http.ResponseWriter, q *request, r result) {
-	copyHead(w, r.header)
+func (g *Gateway) passAnswer(w http.ResponseWriter, q *request, r result) {
+	copyHeader(w, r.header)
 	switch {
 	case bodyAllowed(q.send.Method, r.status):
 		w.Header().Set("Content-Length", strconv.FormatInt(r.body.size, 10))
@@ -252,7 +252,7 @@
 	w.WriteHeader(r.status)
 	size := r.body.size
 	q.memory.StartWriting()
-	if err := writeWhole(w, q.memory, &r.body); err != nil {
+	if err := writeAnswer(w, q.memory, &r.body); err != nil {
 		event.CallerSlow.Log(g.log, "id", q.id, "bytes", size, "error", err)
 		panic(http.ErrAbortHandler)
 	}
@@ -263,32 +263,32 @@
 
 // answerPart is how much of an answer its caller must take in callerTimeout, so that nothing is
 // held for one that has stopped reading, and one that reads slowly gets all of it.
-const answerPart = 16 << 10
+const maxWriteSize = 16 << 10
 
 // writeWhole writes an answer and gives its memory back part by part.
-func writeWhole(w http.ResponseWriter, memory *membudget.Account, body *heldAnswer) error {
+func writeAnswer(w http.ResponseWriter, memory *membudget.Account, body *bufferedAnswer) error {
 	control := http.NewResponseController(w)
 	_ = control.SetWriteDeadline(clock.Deadline(callerTimeout)) // for an answer without a body
-	for len(body.parts) > 0 {
-		if err := writePart(w, control, memory, body.parts[0]); err != nil {
+	for len(body.chunks) > 0 {
+		if err := writeChunk(w, control, memory, body.chunks[0]); err != nil {
 			return err
 		}
-		body.shift(memory)
+		body.releaseFirst(memory)
 	}
 	return nil
 }
 
-func writePart(w http.ResponseWriter, control *http.ResponseController, memory *membudget.Account, part []byte) error {
-	for len(part) > 0 {
+func writeChunk(w http.ResponseWriter, control *http.ResponseController, memory *membudget.Account, chunk []byte) error {
+	for len(chunk) > 0 {
 		_ = control.SetWriteDeadline(clock.Deadline(callerTimeout))
 		if err := memory.Preempted(); err != nil { // its deadline may have been the one before
 			return err
 		}
-		n := min(len(part), answerPart)
-		if _, err := w.Write(part[:n]); err != nil {
+		n := min(len(chunk), maxWriteSize)
+		if _, err := w.Write(chunk[:n]); err != nil {
 			return err
 		}
-		part = part[n:]
+		chunk = chunk[n:]
 	}
 	return nil
 }
@@ -309,10 +309,10 @@
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 	case r.kind == broken:
-		g.lookAfter(q, s, took)
+		g.checkAfterFailure(q, s, took)
 	case r.kind == late:
 		// A server that is full is late often, and to ask it takes one more of its slots.
-		g.contents.note(q, s.ID, took)
+		g.contents.noteInterrupted(q, s.ID, took)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,38 +58,38 @@
 	wg     sync.WaitGroup
 
 	// private are the header fields that no caller may set.
-	private []string
+	privateHeaders []string
 	// forServers are the fields of callers that servers read.
-	forServers map[string]bool
-	table      atomic.Pointer[route.Table]
+	serverHeaders map[string]bool
+	table         atomic.Pointer[route.Table]
 	// tabled is closed when the first table is in force, since tabledAt.
-	tabled   chan struct{}
-	tabledAt atomic.Pointer[time.Time]
-	draining atomic.Bool
-	active   atomic.Int64
+	tableReady   chan struct{}
+	tableReadyAt atomic.Pointer[time.Time]
+	draining     atomic.Bool
+	active       atomic.Int64
 	// streams counts the streams under way. stopsAt is when a draining gateway
 	// ends; endsAt is the same once it takes only what surely ends before.
-	streams         atomic.Int64
-	stopsAt, endsAt atomic.Pointer[time.Time]
-	pool            *backend.Pool
-	links           *links
-	fleet           *fleet
-	limits          *limits
-	contents        *contents
-	evacuated       evacuated
-	memory          *membudget.Budget
+	streams           atomic.Int64
+	stopsAt, finishBy atomic.Pointer[time.Time]
+	pool              *backend.Pool
+	links             *links
+	fleet             *fleet
+	limits            *limits
+	contents          *contents
+	evacuated         evacuatedZones
+	memory            *membudget.Budget
 	// memoryFull bounds the log lines about requests for which there is no memory.
 	memoryFull event.Limiter
 	// unreadReports bounds the log lines about what servers say of themselves and can't be read.
 	unreadReports event.Limiter
 	// lookWait is how long a request waits for a look at the server before it: the
 	// constant of that name, but in tests.
-	lookWait time.Duration
+	checkWait time.Duration
 	// kept is what engines keep of prompts, by service.
-	keptMu sync.Mutex
-	kept   map[string]*keptPrompts
+	cachedMu sync.Mutex
+	cached   map[string]*cachedPrompts
 	// keptWait is how long an engine may take to tell: keptTimeout, but in tests.
-	keptWait time.Duration
+	cacheListTimeout time.Duration
 }
 
 // Start returns a running gateway; it is ready once control has told it the
@@ -99,28 +99,28 @@
 	log := cfg.Log.With("role", "gateway", "name", cfg.Name)
 	g := &Gateway{
 		cfg: cfg, clock: cfg.Clock, log: log, ctx: ctx, cancel: cancel,
-		private: cfg.Protocol.Headers.Private(), forServers: canonical(cfg.Protocol.Headers.ForServers()), tabled: make(chan struct{}), pool: backend.NewPool(), fleet: newFleet(cfg.Clock, cfg.Name, cfg.Zone, cfg.Zones, cfg.Retry), kept: map[string]*keptPrompts{}, keptWait: keptTimeout,
-		limits: newLimits(cfg.Clock, cfg.Quota), contents: newContents(cfg.Clock, log), lookWait: lookWait,
+		privateHeaders: cfg.Protocol.Headers.Private(), serverHeaders: canonicalNames(cfg.Protocol.Headers.ForServers()), tableReady: make(chan struct{}), pool: backend.NewPool(), fleet: newFleet(cfg.Clock, cfg.Name, cfg.Zone, cfg.Zones, cfg.Retry), cached: map[string]*cachedPrompts{}, cacheListTimeout: cacheListTimeout,
+		limits: newLimits(cfg.Clock, cfg.Quota), contents: newContents(cfg.Clock, log), checkWait: checkWait,
 		memory:        membudget.New(cfg.Memory, callerTimeout, cfg.Clock.Now),
-		memoryFull:    event.Limiter{Every: memoryFullEvery, Most: 1},
-		unreadReports: event.Limiter{Every: time.Minute, Most: mostReportLines},
+		memoryFull:    event.Limiter{Every: memoryFullLogInterval, Most: 1},
+		unreadReports: event.Limiter{Every: time.Minute, Most: maxReportLines},
 	}
 	g.pool.OnConnect = g.fleet.noteConnect
 	g.pool.Admit = g.fleet.admit
-	g.pool.OnAnswer = g.answered
+	g.pool.OnAnswer = g.noteAnswer
 	g.links = newLinks(g)
-	g.links.meet(cfg.Seeds)
+	g.links.setSeeds(cfg.Seeds)
 	g.wg.Go(g.sweep)
 	event.Started.Log(g.log)
 	return g
 }
 
 // SetSeeds takes a new list of seeds.
-func (g *Gateway) SetSeeds(seeds []string) { g.links.meet(seeds) }
+func (g *Gateway) SetSeeds(seeds []string) { g.links.setSeeds(seeds) }
 
 // takeTable puts an indexed routing table in force, unless it is older than the
 // one that is: a gateway never goes back. Several links may bring the same one.
-func (g *Gateway) takeTable(t *route.Table) {
+func (g *Gateway) setTable(t *route.Table) {
 	for {
 		old := g.table.Load()
 		if old != nil && old.Version >= t.Version {
@@ -129,11 +129,11 @@
 		if g.table.CompareAndSwap(old, t) {
 			if old == nil {
 				now := g.clock.Now()
-				g.tabledAt.Store(&now)
-				close(g.tabled)
+				g.tableReadyAt.Store(&now)
+				close(g.tableReady)
 			}
 			g.limits.setTable(&g.table)
-			g.fleet.setCold(g.table.Load().Services)
+			g.fleet.setColdSettings(g.table.Load().Services)
 			event.SettingsInForce.Log(g.log, "version", t.Version, "routes", len(t.Routes))
 			return
 		}
@@ -141,33 +141,33 @@
 }
 
 // restarted ends what was under way at a start of a server that a later one has replaced.
-func (g *Gateway) restarted(s *dispatch.Server) {
+func (g *Gateway) noteRestart(s *dispatch.Server) {
 	event.ServerRestarted.Log(g.log, "server", s.StableName(), "address", s.Address)
-	g.contents.restarted(s.ID)
+	g.contents.noteRestart(s.ID)
 	g.pool.End(s.ID, s.Address)
 }
 
 // firstTable is how long a request waits for the first table, and to be told for the
 // first time what organisations have used: a gateway that has just started gets that
 // within some tenths of a second.
-const firstTable = 500 * time.Millisecond
+const firstTableTimeout = 500 * time.Millisecond
 
 // awaitTable returns the table in force; nil if there is none in time.
 func (g *Gateway) awaitTable(ctx context.Context) *route.Table {
 	g.links.awaitCurrent(ctx)
-	if t := g.table.Load(); t != nil && (!t.Keyed || g.links.hasToldUse()) {
+	if t := g.table.Load(); t != nil && (!t.Keyed || g.links.usageKnown()) {
 		return t
 	}
-	ctx, cancel := context.WithTimeout(ctx, firstTable)
+	ctx, cancel := context.WithTimeout(ctx, firstTableTimeout)
 	defer cancel()
 	select {
-	case <-g.tabled:
+	case <-g.tableReady:
 	case <-ctx.Done():
 	}
 	t := g.table.Load()
 	if t != nil && t.Keyed {
 		select {
-		case <-g.links.toldUse:
+		case <-g.links.usageReceived:
 		case <-ctx.Done():
 		}
 	}
@@ -177,37 +177,37 @@
 // firstServers is how long after the first table a request waits for a server of its
 // service to be known: the table comes with the link to control, the servers with a later
 // report of the replica that this gateway follows.
-const firstServers = 500 * time.Millisecond
+const firstServerTimeout = 500 * time.Millisecond
 
 // firstServer chooses a server of a plain service for a request that was not sent yet.
 func (g *Gateway) firstServer(ctx context.Context, q *request) (dispatch.Server, bool) {
-	var over <-chan time.Time
+	var expired <-chan time.Time
 	for {
-		if s, ok := g.fleet.plain(q.work, q.tried); ok {
+		if s, ok := g.fleet.choosePlain(q.work, q.tried); ok {
 			return s, true
 		}
-		if lack, likely := g.fleet.lacks(q); lack != lackServer {
-			return g.awaitServer(ctx, q, likely)
+		if reason, expected := g.fleet.waitReason(q); reason != waitForServer {
+			return g.awaitServer(ctx, q, expected)
 		}
-		if over == nil {
-			left := firstServers
-			if at := g.tabledAt.Load(); at != nil {
-				left = g.clock.Until(at.Add(firstServers))
+		if expired == nil {
+			remaining := firstServerTimeout
+			if at := g.tableReadyAt.Load(); at != nil {
+				remaining = g.clock.Until(at.Add(firstServerTimeout))
 			}
-			if left <= 0 {
+			if remaining <= 0 {
 				return dispatch.Server{}, false
 			}
-			t := time.NewTimer(left)
+			t := time.NewTimer(remaining)
 			defer t.Stop()
-			over = t.C
+			expired = t.C
 		}
-		news := g.fleet.news()
-		if s, ok := g.fleet.plain(q.work, q.tried); ok { // told just before
+		updated := g.fleet.updates()
+		if s, ok := g.fleet.choosePlain(q.work, q.tried); ok { // told just before
 			return s, true
 		}
 		select {
-		case <-news:
-		case <-over:
+		case <-updated:
+		case <-expired:
 			return dispatch.Server{}, false
 		case <-ctx.Done():
 			return dispatch.Server{}, false
@@ -215,11 +215,11 @@
 	}
 }
 
-const sweepEvery = 250 * time.Millisecond
+const sweepInterval = 250 * time.Millisecond
 
 // sweep drops old connections and forgets old servers.
 func (g *Gateway) sweep() {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -250,8 +250,8 @@
 // ReadyHandler answers 200 while the gateway is ready, else 503.
 func (g *Gateway) ReadyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if ok, why := g.Ready(); !ok {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if ok, reason := g.Ready(); !ok {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
@@ -269,7 +269,7 @@
 // Finish makes a draining gateway take no streams any more, and other requests
 // only if there is time for them until it ends: what may take longer would be
 // cut.
-func (g *Gateway) Finish(end time.Time) { g.endsAt.Store(&end) }
+func (g *Gateway) Finish(end time.Time) { g.finishBy.Store(&end) }
 
 // Streams returns the number of streams under way.
 func (g *Gateway) Streams() int64 { return g.streams.Load() }
@@ -287,7 +287,7 @@
 }
 
 // pick returns a random number in [0, 1).
-func pick() float64 { return rand.Float64() }
+func random() float64 { return rand.Float64() }
 
 // Dump is the state of a gateway.
 type Dump struct {
@@ -310,12 +310,12 @@
 
 // Dump returns the state of the gateway.
 func (g *Gateway) Dump() any {
-	d := Dump{Name: g.cfg.Name, Zone: g.cfg.Zone, Draining: g.draining.Load(), Active: g.active.Load(), Control: g.links.open(), Blocked: g.contents.count(), Evacuated: g.evacuated.list(), HeldBytes: g.memory.Held()}
+	d := Dump{Name: g.cfg.Name, Zone: g.cfg.Zone, Draining: g.draining.Load(), Active: g.active.Load(), Control: g.links.openPeers(), Blocked: g.contents.count(), Evacuated: g.evacuated.list(), HeldBytes: g.memory.Held()}
 	if t := g.table.Load(); t != nil {
 		d.Version = t.Version
 	}
 	d.Servers = g.fleet.list()
-	d.PausedMs = g.fleet.pauses()
+	d.PausedMs = g.fleet.pausesMs()
 	return d
 }
 
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -18,7 +18,7 @@
 	// readShare is the part of the target by which the prompt should have been
 	// read. An answer that is a little late is worth as much as one that comes
 	// after a refusal, and more if the queue is shorter than it looks.
-	readShare = 1.5
+	prefillDeadlineRatio = 1.5
 	// maxRounds bounds how often a request is placed.
 	maxRounds = 3
 	// kvMargin is taken off the time that an engine keeps a prefill result.
@@ -26,7 +26,7 @@
 )
 
 // errLeft tells that a decode engine began to leave while the prompt was read.
-var errLeft = errors.New("gateway: the engine is leaving")
+var errEngineLeaving = errors.New("gateway: the engine is leaving")
 
 // generation is a request to a model engine on its way.
 type generation struct {
@@ -35,20 +35,20 @@
 	pair dispatch.Pair
 	// booked is the decode engine whose memory is reserved, reader the engine at
 	// which the prompt is booked to be read; empty if none.
-	booked, reader string
+	decodeReserved, prefillReserved string
 	// placedAt is when they were booked.
-	placedAt time.Time
+	reservedAt time.Time
 	// hold is the room that the engine booked has set aside; empty if none.
-	hold   string
-	kv     backend.KV
-	kvFrom dispatch.Server
-	kvAt   time.Time
+	hold      string
+	kv        backend.KV
+	kvSource  dispatch.Server
+	kvReadyAt time.Time
 	// handover is how decode engines took the newest KV cache.
 	handover dispatch.Handover
 	stream   *streamWriter
 	// prefills and decodes count what has reached engines of each role.
 	prefills, decodes int
-	mover             mover
+	migrations        migrationState
 }
 
 // generate serves a request of a model engine: a decode engine's memory is
@@ -57,28 +57,28 @@
 	g.streams.Add(1)
 	defer g.streams.Add(-1)
 	n := &generation{g: g, q: q, stream: newStreamWriter(g, w, q)}
-	n.stream.made = func(tokens int) { n.grow(ctx, tokens) }
-	n.stream.memory = func(bytes int64) error { return takeMemory(ctx, q.memory, bytes) }
-	defer n.unbook()
+	n.stream.onTokens = func(tokens int) { n.growReservation(ctx, tokens) }
+	n.stream.reserve = func(bytes int64) error { return reserveMemory(ctx, q.memory, bytes) }
+	defer n.releaseReservations()
 	var last result
 	for round := range maxRounds {
-		if round > 0 && !n.mayGoOn(last) {
+		if round > 0 && !n.mayRetry(last) {
 			break
 		}
 		if round > 0 || q.resumed {
-			q.work.Cached = g.findKept(q)
+			q.work.Cached = g.findCached(q)
 		}
 		if n.stream.started {
-			event.StreamGoesOn.Log(g.log, "id", q.id, "last", n.stream.order.Last(), "resumed", q.resumed, "moved", n.mover.count, "error", last.err)
+			event.StreamGoesOn.Log(g.log, "id", q.id, "last", n.stream.order.Last(), "resumed", q.resumed, "moved", n.migrations.count, "error", last.err)
 		}
-		if round > 0 && !g.keepToRegions(q) || !n.place(ctx) {
+		if round > 0 && !g.narrowRegions(q) || !n.place(ctx) {
 			if round == 0 {
 				last = result{kind: notRun}
 			}
 			break
 		}
 		last = n.round(ctx)
-		n.unbook()
+		n.releaseReservations()
 		if last.kind == answered || ctx.Err() != nil || errors.Is(last.err, errBlocked) {
 			break
 		}
@@ -88,50 +88,50 @@
 
 // mayGoOn tells whether a request that a round has not finished may have
 // another one.
-func (n *generation) mayGoOn(last result) bool {
-	if n.stream.started && !n.stream.canGoOn() {
+func (n *generation) mayRetry(last result) bool {
+	if n.stream.started && !n.stream.canResume() {
 		return false
 	}
 	// The prompt is read once more, and a decode engine is asked once more, if
 	// either has been asked before.
 	sends := min(n.prefills, 1) + min(n.decodes, 1)
 	if last.kind == notSent {
-		return sends == 0 || n.g.fleet.retry(n.q.service.Name, sends)
+		return sends == 0 || n.g.fleet.reserveRetries(n.q.service.Name, sends)
 	}
-	return n.g.again(n.q, last, max(sends, 1))
+	return n.g.mayResend(n.q, last, max(sends, 1))
 }
 
 // place books a prefill and a decode engine.
 func (n *generation) place(ctx context.Context) bool {
 	q := n.q
-	limit := n.g.fleet.patience(q.work, q.route.Target-n.g.clock.Since(q.arrived))
+	limit := n.g.fleet.queueTimeout(q.work, q.route.Target-n.g.clock.Since(q.arrived))
 	if n.stream.started {
 		limit = q.route.GapTarget
 	}
 	until := n.g.clock.Now().Add(limit)
 	for {
-		if left, ok := n.g.fleet.awaitsPause(q.work, registry.Decode); ok && left > n.g.clock.Until(until) {
+		if remaining, ok := n.g.fleet.minPauseRemaining(q.work, registry.Decode); ok && remaining > n.g.clock.Until(until) {
 			return false
 		}
-		wait := &dispatch.QueuedRequest{Priority: q.organisation.PriorityFor(q.route), Work: q.work, Engine: q.service.Engine, Avoid: q.tried}
-		wait.Work.OverShare = n.g.limits.beyond(q)
+		waiting := &dispatch.QueuedRequest{Priority: q.organisation.PriorityFor(q.route), Work: q.work, Engine: q.service.Engine, Avoid: q.tried}
+		waiting.Work.OverShare = n.g.limits.overFairShare(q)
 		if !n.stream.started && q.route.Target > 0 {
-			wait.Work.MaxPrefillTime = time.Duration(readShare*float64(q.route.Target)) - n.g.clock.Since(q.arrived)
+			waiting.Work.MaxPrefillTime = time.Duration(prefillDeadlineRatio*float64(q.route.Target)) - n.g.clock.Since(q.arrived)
 		}
-		pair, ok := n.g.fleet.place(ctx, wait, max(n.g.clock.Until(until), 0))
+		pair, ok := n.g.fleet.place(ctx, waiting, max(n.g.clock.Until(until), 0))
 		if !ok {
 			return false
 		}
-		n.pair, n.booked, n.reader = pair, pair.Decode.ID, pair.PrefillServer().ID
-		n.placedAt = n.g.clock.Now()
-		if kept := q.work.Cached[n.reader]; kept > 0 {
-			metric.KeptTokens.WithLabelValues(q.service.Name).Add(float64(kept))
+		n.pair, n.decodeReserved, n.prefillReserved = pair, pair.Decode.ID, pair.PrefillServer().ID
+		n.reservedAt = n.g.clock.Now()
+		if cached := q.work.Cached[n.prefillReserved]; cached > 0 {
+			metric.KeptTokens.WithLabelValues(q.service.Name).Add(float64(cached))
 		}
-		if n.takeHold(ctx) {
+		if n.acquireHold(ctx) {
 			return true
 		}
 		q.tried[pair.Decode.ID] = true
-		n.unbook()
+		n.releaseReservations()
 		if ctx.Err() != nil {
 			return false
 		}
@@ -141,33 +141,33 @@
 // round reads the prompt and makes the answer at the engines that are booked.
 func (n *generation) round(ctx context.Context) result {
 	n.handover = dispatch.Handover{}
-	if !n.g.mayGo(n.q) {
+	if !n.g.contentAllowed(n.q) {
 		return result{kind: notSent, err: errBlocked}
 	}
 	if n.pair.Prefill == nil {
 		return n.decode(ctx, n.pair.Decode, false)
 	}
 	r := n.prefill(ctx)
-	n.endRead()
+	n.releasePrefill()
 	if r.kind != answered {
 		n.q.tried[n.pair.Prefill.ID] = true
-		n.g.noteSend(ctx, n.q, n.pair.Prefill, r, n.g.clock.Since(n.placedAt))
+		n.g.noteSend(ctx, n.q, n.pair.Prefill, r, n.g.clock.Since(n.reservedAt))
 		if r.kind == notRun || r.kind == misdirected {
-			n.g.fleet.spend(n.q.service.Name)
+			n.g.fleet.countRetry(n.q.service.Name)
 		}
 		if r.kind == broken || r.kind == late {
 			r.kind = notRun // a prompt that was read is no run
 		}
 		return r
 	}
-	defer n.dropKV()
-	r = result{kind: notSent, err: errLeft}
-	if n.g.fleet.listed(n.pair.Decode.ID) {
+	defer n.freeKV()
+	r = result{kind: notSent, err: errEngineLeaving}
+	if n.g.fleet.available(n.pair.Decode.ID) {
 		r = n.decode(ctx, n.pair.Decode, true)
 	}
 	switch r.kind {
 	case notRun, notSent, misdirected:
-		r = n.elsewhere(ctx, r)
+		r = n.decodeElsewhere(ctx, r)
 	}
 	if n.handover.AcceptedBy == "" {
 		n.g.fleet.noteHandover(n.handover)
@@ -180,13 +180,13 @@
 
 // wasteCause tells why a prompt that was read has no whole answer; begun tells
 // that a decode engine had taken it.
-func wasteCause(ctx context.Context, r result, begun bool) string {
+func wasteCause(ctx context.Context, r result, accepted bool) string {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return "caller gone"
 	case ctx.Err() != nil:
 		return "deadline"
-	case begun:
+	case accepted:
 		return "engine lost"
 	case r.kind == broken:
 		return "answer lost"
@@ -200,30 +200,30 @@
 func (n *generation) noteWasted(cause string) {
 	metric.WastedTokens.WithLabelValues(n.q.service.Name, cause).Add(float64(n.kv.Tokens))
 	event.PromptWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Generated,
-		"prefill", n.kvFrom.StableName(), "decode", n.pair.Decode.StableName())
+		"prefill", n.kvSource.StableName(), "decode", n.pair.Decode.StableName())
 }
 
 // grow books what a run has made, and has it move on if its engine has no room
 // for it any more.
-func (n *generation) grow(ctx context.Context, made int) {
-	if n.booked == "" {
+func (n *generation) growReservation(ctx context.Context, generated int) {
+	if n.decodeReserved == "" {
 		return
 	}
-	n.endRead()
+	n.releasePrefill()
 	n.checkMigration()
-	work, reason := n.g.fleet.grow(n.booked, n.q.work, n.q.service.Engine, made)
+	work, reason := n.g.fleet.growReservation(n.decodeReserved, n.q.work, n.q.service.Engine, generated)
 	n.q.work = work
 	if reason != dispatch.Stay {
-		n.moveOn(ctx, reason)
+		n.startMigration(ctx, reason)
 	}
 }
 
-func (n *generation) unbook() {
-	n.endRead()
-	n.dropHold()
-	if n.booked != "" {
-		n.g.fleet.release(n.booked, n.q.work)
-		n.booked = ""
+func (n *generation) releaseReservations() {
+	n.releasePrefill()
+	n.releaseHold()
+	if n.decodeReserved != "" {
+		n.g.fleet.releaseDecode(n.decodeReserved, n.q.work)
+		n.decodeReserved = ""
 	}
 }
 
@@ -237,26 +237,26 @@
 	if n.stream.started {
 		if last.kind != answered {
 			event.RequestFailed.Log(g.log, "id", q.id, "reason", "stream broken", "error", last.err)
-			cut(w, q.chunks)
+			abortAnswer(w, q.chunked)
 		}
 		return
 	}
 	if last.kind == answered && last.header != nil {
-		g.pass(w, q, last)
+		g.passAnswer(w, q, last)
 		return
 	}
-	if left := g.contents.blocked(q); left > 0 && !q.mayHaveRun {
-		g.refuse(w, q.id, q.refuseContent(left))
+	if remaining := g.contents.blocked(q); remaining > 0 && !q.mayHaveRun {
+		g.refuse(w, q.id, q.refuseContent(remaining))
 		return
 	}
 	if !q.mayHaveRun {
-		r := g.fleet.ruled(q.work, q.service.Engine)
+		r := g.fleet.exclusion(q.work, q.service.Engine)
 		event.NoRoom.Log(g.log, "id", q.id, "rule", string(r.Rule), "prompt", q.work.Prompt, "expected", q.work.Expected, "engines", r.Engines,
 			"ruled", r.Count, "read_ms", r.MinPrefillTime.Milliseconds(), "queued", r.Queued, "gateways_known", r.Known, "gateways", r.Gateways,
 			"waited_ms", g.clock.Since(q.arrived).Milliseconds(), "prefills", n.prefills, "decodes", n.decodes)
-		after := g.fleet.comeBack(q.service.Name, r.MinPrefillTime)
-		if left, ok := g.fleet.awaitsPause(q.work, registry.Decode); ok {
-			after = max(after, spread(left))
+		after := g.fleet.retryAfter(q.service.Name, r.MinPrefillTime)
+		if remaining, ok := g.fleet.minPauseRemaining(q.work, registry.Decode); ok {
+			after = max(after, jitter(remaining))
 		}
 		g.refuse(w, q.id, refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "no engine has room", retryAfter: after})
 		return
--- a/gateway/fields.go
+++ b/gateway/headers.go
@@ -13,7 +13,7 @@
 }
 
 // canonical returns a set of field names as they stand in an http.Header.
-func canonical(names []string) map[string]bool {
+func canonicalNames(names []string) map[string]bool {
 	out := make(map[string]bool, len(names))
 	for _, name := range names {
 		out[textproto.CanonicalMIMEHeaderKey(name)] = true
@@ -25,22 +25,22 @@
 // the connection, nor the private ones that are no caller's to set. What servers read of
 // callers is meant for them, though the caller's Connection field may name it: without
 // its last event a caller would get all events again.
-func (g *Gateway) forwarded(in http.Header) http.Header {
+func (g *Gateway) forwardedHeader(in http.Header) http.Header {
 	out := make(http.Header, len(in)+4)
-	drop := perConnection(in)
+	drop := connectionFields(in)
 	for name, values := range in {
-		if !hopByHop[name] && (!drop[name] || g.forServers[name]) {
+		if !hopByHop[name] && (!drop[name] || g.serverHeaders[name]) {
 			out[name] = values
 		}
 	}
-	for _, name := range g.private {
+	for _, name := range g.privateHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
 // perConnection returns the fields that a Connection field names.
-func perConnection(in http.Header) map[string]bool {
+func connectionFields(in http.Header) map[string]bool {
 	var out map[string]bool
 	for _, field := range in["Connection"] {
 		for _, name := range strings.Split(field, ",") {
@@ -54,9 +54,9 @@
 }
 
 // copyHead puts the fields of a server's answer before the caller.
-func copyHead(w http.ResponseWriter, in http.Header) {
+func copyHeader(w http.ResponseWriter, in http.Header) {
 	out := w.Header()
-	drop := perConnection(in)
+	drop := connectionFields(in)
 	for name, values := range in {
 		if !hopByHop[name] && !drop[name] {
 			out[name] = values
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -15,8 +15,8 @@
 	// holdTimeout is how long an engine may take to set room aside, beside the way there and
 	// back and the opening of a connection: holdTrips round trips. What is given up may be
 	// set aside all the same, for nobody.
-	holdTimeout = 120 * time.Millisecond
-	holdTrips   = 2
+	holdTimeout    = 120 * time.Millisecond
+	holdRoundTrips = 2
 	// holdMargin is added to the expected time until the prompt has been read.
 	holdMargin = 600 * time.Millisecond
 )
@@ -25,20 +25,20 @@
 // prompt is read for it: what gateways tell each other is some tens of
 // milliseconds old, and only the engine knows whether it still has a slot. It
 // returns false if it has none or can't be reached.
-func (n *generation) takeHold(ctx context.Context) bool {
+func (n *generation) acquireHold(ctx context.Context) bool {
 	p, engine := &n.g.cfg.Protocol, n.q.service.Engine
 	if p.TakeHold == nil || engine.HoldMost <= 0 || n.pair.Prefill == nil {
 		return true
 	}
 	s := n.pair.Decode
-	if n.g.fleet.bearsLittle(s.ID) {
+	if n.g.fleet.hasReducedCapacity(s.ID) {
 		return true // it bears few calls, and has room
 	}
 	if ctx.Err() != nil {
 		return false
 	}
 	// The answer is heard also if the caller leaves, so that the room is given back.
-	hctx, cancel := n.g.outlive(ctx, holdTimeout+holdTrips*n.g.fleet.trip(s.Zone))
+	hctx, cancel := n.g.detachedContext(ctx, holdTimeout+holdRoundTrips*n.g.fleet.roundTrip(s.Zone))
 	defer cancel()
 	started := n.g.clock.Now()
 	r := n.callTo(s, p.TakeHold(n.q.work.Prompt, min(n.pair.PrefillTime+holdMargin, engine.HoldMost)))
@@ -52,32 +52,32 @@
 	}
 	event.NoHold.Log(n.g.log, "id", n.q.id, "server", s.StableName(), "status", res.status, "ms", n.g.clock.Since(started).Milliseconds(), "error", res.err)
 	if res.kind == notSent {
-		n.g.fleet.note(s.ID, outcomeOf(ctx, res), 0)
+		n.g.fleet.noteOutcome(s.ID, outcomeOf(ctx, res), 0)
 	}
 	return false
 }
 
 // sendTo returns the caller's request as it goes to an engine.
 func (n *generation) sendTo(s *dispatch.Server) backend.Request {
-	return n.q.to(&n.g.cfg.Protocol.Headers, s, n.q.left(), n.g.fleet.sharing(s))
+	return n.q.toServer(&n.g.cfg.Protocol.Headers, s, n.q.remaining(), n.g.fleet.gatewaysPerServer(s))
 }
 
 // dropHold gives room back that has not been used.
-func (n *generation) dropHold() {
+func (n *generation) releaseHold() {
 	if n.hold == "" {
 		return
 	}
 	s, hold := n.pair.Decode, n.hold
 	n.hold = ""
-	n.giveBack(s, n.g.cfg.Protocol.DropHold(hold))
+	n.freeInBackground(s, n.g.cfg.Protocol.DropHold(hold))
 }
 
 // dropKV frees a KV cache that no decode engine has taken.
-func (n *generation) dropKV() {
-	if n.kv.Handle == "" || n.g.clock.Since(n.kvAt) > n.q.service.Engine.KVHold {
+func (n *generation) freeKV() {
+	if n.kv.Handle == "" || n.g.clock.Since(n.kvReadyAt) > n.q.service.Engine.KVHold {
 		return
 	}
-	s, handle := &n.kvFrom, n.kv.Handle
+	s, handle := &n.kvSource, n.kv.Handle
 	n.kv.Handle = ""
-	n.giveBack(s, n.g.cfg.Protocol.FreeKV(handle))
+	n.freeInBackground(s, n.g.cfg.Protocol.FreeKV(handle))
 }
--- a/gateway/shares.go
+++ b/gateway/hub.go
@@ -9,7 +9,7 @@
 )
 
 // shares is what a replica tells of the other gateways.
-type shares struct {
+type otherGateways struct {
 	// from is the replica's address.
 	from string
 	// gateways is the number of those that it has heard.
@@ -25,12 +25,12 @@
 // takeLoads takes what a replica tells of other gateways; of their reservations
 // those that have changed. What was told last stays until the replica that this
 // gateway shares with now has told all. Callers hold the lock.
-func (l *links) takeLoads(address string, m *wire.Loads) {
+func (l *links) updateLoads(address string, m *wire.Loads) {
 	if address != l.hub || l.others.from != address && !m.Whole {
 		return
 	}
 	if m.Whole {
-		l.others = shares{from: address, loads: map[string]dispatch.Load{}, seen: map[string]dispatch.Evidence{}}
+		l.others = otherGateways{from: address, loads: map[string]dispatch.Load{}, seen: map[string]dispatch.Evidence{}}
 	}
 	s := &l.others
 	s.gateways, s.queued = m.Gateways, m.Queued
@@ -52,9 +52,9 @@
 
 // share tells the fleet how many gateways there are and what the others have
 // reserved. Callers hold the lock.
-func (l *links) share() {
-	gateways := l.count(l.g.clock.Now())
-	l.g.fleet.share(dispatch.OtherGateways{
+func (l *links) updateOthers() {
+	gateways := l.countGateways(l.g.clock.Now())
+	l.g.fleet.setOthers(dispatch.OtherGateways{
 		Gateways: gateways, Known: min(1+l.others.gateways, gateways), Queued: l.others.queued, Loads: maps.Clone(l.others.loads), Evidence: maps.Clone(l.others.seen),
 	})
 }
@@ -62,21 +62,21 @@
 // Bounds of the number of gateways.
 const (
 	// leastGateways is assumed of a system whose gateways are not all known yet.
-	leastGateways = 3
-	peakFor       = 20 * time.Second
+	minGateways  = 3
+	peakDuration = 20 * time.Second
 )
 
 // count returns the number of gateways, as the highest that any replica has
 // seen of late. Callers hold the lock.
-func (l *links) count(now time.Time) int {
-	seen := leastGateways
+func (l *links) countGateways(now time.Time) int {
+	seen := minGateways
 	for _, n := range l.gateways {
 		seen = max(seen, n)
 	}
-	if seen >= l.peak || now.Sub(l.peakAt) > peakFor {
-		l.peak, l.peakAt = seen, now
+	if seen >= l.peakGateways || now.Sub(l.peakAt) > peakDuration {
+		l.peakGateways, l.peakAt = seen, now
 	}
-	return l.peak
+	return l.peakGateways
 }
 
 // hubLink returns the link over which reservations are shared. Callers hold the
@@ -91,7 +91,7 @@
 		if old := l.peers[l.hub]; old != nil && old.link != nil {
 			_ = old.link.Send(&wire.Message{Loads: &wire.Loads{Ended: true}})
 		}
-		l.follow(best)
+		l.setHub(best)
 	}
 	return l.peers[best].link
 }
@@ -99,10 +99,10 @@
 // follow begins to share with a replica, which tells all servers anew. What it has told
 // before does not count any more: it may have told nothing since of servers that are
 // gone. Callers hold the lock.
-func (l *links) follow(address string) {
+func (l *links) setHub(address string) {
 	l.hub = address
-	delete(l.told, address)
-	l.g.fleet.touch()
+	delete(l.rosters, address)
+	l.g.fleet.resendAll()
 }
 
 // chooseHub returns the replica that this gateway shares with: of those that have links
@@ -118,7 +118,7 @@
 			continue
 		}
 		r := l.hubRank(a, p.link.Peer.Zone)
-		if r < bestRank && now.Sub(p.since) < hubWait {
+		if r < bestRank && now.Sub(p.openedAt) < hubWait {
 			continue
 		}
 		if r > rank || r == rank && a < best {
@@ -140,11 +140,11 @@
 
 // silentFor is the silence after which a replica is left for another one, before its link
 // is given up: it shows life every 0.4 s, and a packet that is lost is sent again after 0.2 s.
-const silentFor = 700 * time.Millisecond
+const silenceTimeout = 700 * time.Millisecond
 
 func (l *links) silent(address string) bool {
 	p := l.peers[address]
-	return p != nil && !p.heard.IsZero() && l.g.clock.Since(p.heard) > silentFor
+	return p != nil && !p.lastReceived.IsZero() && l.g.clock.Since(p.lastReceived) > silenceTimeout
 }
 
 // hubRank tells how well a linked replica serves to share with; the highest is best.
@@ -152,7 +152,7 @@
 	switch {
 	case l.silent(address):
 		return 0
-	case l.cut[address]:
+	case l.partitioned[address]:
 		return 1
 	case zone == l.g.cfg.Zone:
 		return bestRank
--- a/gateway/key.go
+++ b/gateway/key.go
@@ -14,7 +14,7 @@
 // bearer returns the key that a caller names: one field, the scheme Bearer in any case,
 // blanks and one word. All else is no key, so that a server and a gateway can't read
 // two different ones.
-func bearer(fields []string) (string, bool) {
+func bearerKey(fields []string) (string, bool) {
 	if len(fields) != 1 {
 		return "", false
 	}
@@ -28,7 +28,7 @@
 
 // unsureRetry is when a caller should come back whose key may be newer than the table:
 // a gateway has the next replica within about that time.
-const unsureRetry = 300 * time.Millisecond
+const staleTableRetry = 300 * time.Millisecond
 
 // identify finds the organisation of a request. A public route wants no key; the
 // organisation of one that is known is named to the server all the same. A key that is
@@ -38,15 +38,15 @@
 	if !table.Keyed {
 		return nil
 	}
-	key, ok := bearer(h[authorization])
+	key, ok := bearerKey(h[authorization])
 	if ok {
 		q.organisation = table.OrganisationByKey(key)
 	}
 	if q.organisation != nil || q.route.Public {
 		return nil
 	}
-	if !g.links.inTouch() {
-		return &refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the key may be newer than the routing table", retryAfter: unsureRetry}
+	if !g.links.connected() {
+		return &refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the key may be newer than the routing table", retryAfter: staleTableRetry}
 	}
 	return &refusal{route: q.route.Name, status: http.StatusUnauthorized, reason: "no known key"}
 }
@@ -54,7 +54,7 @@
 // name puts the organisation of a request in the place of all that its caller said of
 // it. Its key goes no further. Fields with an underscore for a hyphen are dropped too,
 // since some servers read them as the same.
-func (g *Gateway) name(table *route.Table, q *request) {
+func (g *Gateway) setOrganisation(table *route.Table, q *request) {
 	if !table.Keyed {
 		return
 	}
--- a/gateway/tokens.go
+++ b/gateway/limit_tokens.go
@@ -13,18 +13,18 @@
 const (
 	// askAgain is the time after which control is asked again for tokens where nothing has
 	// changed, and askChange the part by which the rate of requests must have changed.
-	askAgain  = 400 * time.Millisecond
-	askChange = 0.25
+	askInterval  = 400 * time.Millisecond
+	minAskChange = 0.25
 	// leastAsk is the rate of requests below which none is asked for.
-	leastAsk = 0.01
+	minAskRate = 0.01
 	// aloneAfter is how long a gateway must have been out of touch before it sends its own part
 	// of each limit.
-	aloneAfter = time.Second
+	standaloneAfter = time.Second
 )
 
 // takeLimits takes what a replica tells of limits; only the one that this gateway shares with tells
 // of tokens and supply.
-func (l *links) takeLimits(address string, m *wire.Limits) {
+func (l *links) updateLimits(address string, m *wire.Limits) {
 	l.mu.Lock()
 	hub := address == l.hub
 	l.mu.Unlock()
@@ -38,18 +38,18 @@
 			changes = append(changes, change)
 		}
 	}
-	f.limited.some.Store(f.view.CountLimited(now) > 0)
-	var back []wire.LimitToken
+	f.limited.present.Store(f.view.CountLimited(now) > 0)
+	var returned []wire.LimitToken
 	if hub {
 		f.limited.setSupply(m.Supply)
-		back = f.takeTokens(now, m.Tokens)
+		returned = f.grantTokens(now, m.Tokens)
 	}
 	f.mu.Unlock()
 	for _, c := range changes {
-		l.g.logLimit(c, byControl)
+		l.g.logLimit(c, sourceControl)
 	}
-	if len(back) > 0 {
-		l.send(address, &wire.Message{Limits: &wire.Limits{Back: back}})
+	if len(returned) > 0 {
+		l.send(address, &wire.Message{Limits: &wire.Limits{Back: returned}})
 	}
 }
 
@@ -73,19 +73,19 @@
 
 // takeTokens places the requests that wait for tokens, and returns those that nobody here has use
 // for. Callers hold the lock.
-func (f *fleet) takeTokens(now time.Time, tokens []wire.LimitToken) []wire.LimitToken {
+func (f *fleet) grantTokens(now time.Time, tokens []wire.LimitToken) []wire.LimitToken {
 	if len(tokens) == 0 {
 		return nil
 	}
-	if f.limited.got == nil {
-		f.limited.got = map[string]int{}
+	if f.limited.received == nil {
+		f.limited.received = map[string]int{}
 	}
 	for _, t := range tokens {
 		if service := f.view.GrantTokens(now, t.Server, ratelimit.Token{Owner: t.Owner, Spare: t.Spare}, t.Tokens, t.For); service != "" {
-			f.limited.got[service] += t.Tokens
+			f.limited.received[service] += t.Tokens
 		}
 	}
-	f.serve()
+	f.serveQueue()
 	var out []wire.LimitToken
 	for _, t := range tokens {
 		for _, b := range f.view.ReleaseSurplus(now, t.Server) {
@@ -97,24 +97,24 @@
 
 // tellLimits tells the replica that this gateway shares with what servers say of their limits, and
 // asks it for tokens; hub is nil if there is none.
-func (l *links) tellLimits(now time.Time, hub *wire.Link) {
+func (l *links) sendLimits(now time.Time, hub *wire.Link) {
 	f := l.g.fleet
-	knows := hub != nil && hub.Speaks() >= wire.KnowsLimits && l.inTouch()
+	supported := hub != nil && hub.Speaks() >= wire.KnowsLimits && l.connected()
 	f.mu.Lock()
-	if knows || f.limited.touchAt.IsZero() {
-		f.limited.touchAt = now
+	if supported || f.limited.connectedAt.IsZero() {
+		f.limited.connectedAt = now
 	}
-	f.view.Standalone = now.Sub(f.limited.touchAt) >= aloneAfter // also for the next limit that is named
-	if !f.limited.some.Load() {
+	f.view.Standalone = now.Sub(f.limited.connectedAt) >= standaloneAfter // also for the next limit that is named
+	if !f.limited.present.Load() {
 		f.mu.Unlock()
 		return
 	}
 	f.view.SetStandaloneRates(now)
 	var m *wire.Limits
-	if knows {
-		m = f.untoldLimits(now)
+	if supported {
+		m = f.unsentLimits(now)
 	}
-	f.servePlain()
+	f.servePlainQueue()
 	f.mu.Unlock()
 	if m != nil {
 		_ = hub.Send(&wire.Message{Limits: m})
@@ -122,7 +122,7 @@
 }
 
 // untoldLimits returns what control has to hear of limits; nil if nothing. Callers hold the lock.
-func (f *fleet) untoldLimits(now time.Time) *wire.Limits {
+func (f *fleet) unsentLimits(now time.Time) *wire.Limits {
 	out := &wire.Limits{}
 	for _, w := range f.view.UnsentLimits(now) {
 		out.Observations = append(out.Observations, wire.LimitObservation{
@@ -130,8 +130,8 @@
 		})
 	}
 	asks := f.limitAsks(now)
-	if now.Sub(f.limited.askedAt) >= askAgain || f.limited.asksChanged(asks) {
-		f.limited.asked, f.limited.askedAt = asks, now
+	if now.Sub(f.limited.askedAt) >= askInterval || f.limited.asksChanged(asks) {
+		f.limited.lastAsks, f.limited.askedAt = asks, now
 		for _, a := range asks {
 			out.Asks = append(out.Asks, a)
 		}
@@ -147,7 +147,7 @@
 func (f *fleet) limitAsks(now time.Time) map[string]wire.LimitAsk {
 	out := map[string]wire.LimitAsk{}
 	for service, rate := range f.view.LimitedServiceRates(now) {
-		a := wire.LimitAsk{Service: service, Rate: rate, Got: f.limited.got[service]}
+		a := wire.LimitAsk{Service: service, Rate: rate, Got: f.limited.received[service]}
 		a.Waiting, a.Priority = f.queue.CountWaiting(service) // of an engine's service
 		for _, w := range f.limited.waiting {
 			if w.work.Service != service {
@@ -158,7 +158,7 @@
 			}
 			a.Waiting++
 		}
-		if a.Rate >= leastAsk || a.Waiting > 0 {
+		if a.Rate >= minAskRate || a.Waiting > 0 {
 			out[service] = a
 		}
 	}
@@ -167,12 +167,12 @@
 
 // asksChanged tells whether what is wanted differs from what was told.
 func (s *limitedServers) asksChanged(asks map[string]wire.LimitAsk) bool {
-	if len(asks) != len(s.asked) {
+	if len(asks) != len(s.lastAsks) {
 		return true
 	}
 	for service, a := range asks {
-		told, ok := s.asked[service]
-		if !ok || a.Waiting != told.Waiting || a.Priority != told.Priority || math.Abs(a.Rate-told.Rate) > askChange*told.Rate {
+		last, ok := s.lastAsks[service]
+		if !ok || a.Waiting != last.Waiting || a.Priority != last.Priority || math.Abs(a.Rate-last.Rate) > minAskChange*last.Rate {
 			return true
 		}
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -38,14 +38,14 @@
 }
 
 // setPart takes the part of the limits that this gateway may use.
-func (l *limits) setPart(p quota.Share) {
+func (l *limits) setShare(p quota.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limiter.SetShare(l.clock.Now(), p)
 }
 
 // take takes what a replica tells of the other gateways.
-func (l *limits) take(u *quota.UsageUpdate) {
+func (l *limits) update(u *quota.UsageUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -60,21 +60,21 @@
 }
 
 // beyond tells whether the organisation of a request uses more than its share.
-func (l *limits) beyond(q *request) bool {
+func (l *limits) overFairShare(q *request) bool {
 	if q.organisation == nil {
 		return false
 	}
 	l.mu.Lock()
-	beyond := l.shares.Exceeds(l.clock.Now(), q.organisation.Name)
+	over := l.shares.Exceeds(l.clock.Now(), q.organisation.Name)
 	l.mu.Unlock()
-	if beyond {
+	if over {
 		metric.OrganisationRequests.WithLabelValues(q.organisation.Name, "beyond its share").Inc()
 	}
-	return beyond
+	return over
 }
 
 // untold returns what the other gateways have to hear.
-func (l *limits) untold(now time.Time) map[string]int {
+func (l *limits) takeUnreported(now time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.TakeUnreported(now)
@@ -84,9 +84,9 @@
 func (l *limits) charge(q *request) quota.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := l.limiter.Take(q.arrived, q.organisation.Name, q.size, rand.Float64())
+	v := l.limiter.Take(q.arrived, q.organisation.Name, q.cost, rand.Float64())
 	if v.OK {
-		l.shares.Add(q.arrived, q.organisation.Name, q.size)
+		l.shares.Add(q.arrived, q.organisation.Name, q.cost)
 	}
 	return v
 }
@@ -97,7 +97,7 @@
 	if q.organisation == nil || q.organisation.Rate <= 0 {
 		return nil
 	}
-	q.size = q.organisation.Cost(tokens)
+	q.cost = q.organisation.Cost(tokens)
 	v := g.limits.charge(q)
 	if v.OK {
 		q.charged = true
@@ -105,12 +105,12 @@
 		return nil
 	}
 	metric.OrganisationRequests.WithLabelValues(q.organisation.Name, "over its limit").Inc()
-	event.OverLimit.Log(g.log, "id", q.id, "organisation", q.organisation.Name, "size", q.size, "rate", q.organisation.Rate, "burst", q.organisation.Burst,
+	event.OverLimit.Log(g.log, "id", q.id, "organisation", q.organisation.Name, "size", q.cost, "rate", q.organisation.Rate, "burst", q.organisation.Burst,
 		"used", int(v.Used), "room", int(v.Capacity), "cut_off", v.Disconnected, "told_ms", v.Age.Milliseconds())
 	if v.Unassigned {
-		return &refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "what organisations have used is not known yet", retryAfter: unsureRetry}
+		return &refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "what organisations have used is not known yet", retryAfter: staleTableRetry}
 	}
-	return &refusal{route: q.route.Name, status: http.StatusTooManyRequests, reason: "over the limit of the organisation", retryAfter: spread(overLimitRetry(q.route, v.RetryAfter))}
+	return &refusal{route: q.route.Name, status: http.StatusTooManyRequests, reason: "over the limit of the organisation", retryAfter: jitter(overLimitRetry(q.route, v.RetryAfter))}
 }
 
 // overLimitRetry is when a caller beyond a limit should come back: when its request fits,
@@ -126,31 +126,31 @@
 
 // waitSpread is the part by which times to come back differ, so that callers who were
 // refused together do not return together.
-const waitSpread = 0.2
+const retryJitter = 0.2
 
-func spread(wait time.Duration) time.Duration {
-	return time.Duration(float64(wait) * (1 + waitSpread*rand.Float64()))
+func jitter(wait time.Duration) time.Duration {
+	return time.Duration(float64(wait) * (1 + retryJitter*rand.Float64()))
 }
 
 // ran notes that a server may have worked on the request. Each time counts.
-func (g *Gateway) ran(q *request) {
+func (g *Gateway) noteMayHaveRun(q *request) {
 	if q.mayHaveRun && q.charged {
-		g.count(q, q.size)
+		g.adjustUsage(q, q.cost)
 	}
 	q.mayHaveRun = true
 }
 
 // settle gives back what was counted for a request that has not run.
-func (g *Gateway) settle(q *request) {
+func (g *Gateway) refund(q *request) {
 	if q.charged && !q.mayHaveRun {
-		g.count(q, -q.size)
+		g.adjustUsage(q, -q.cost)
 	}
 }
 
-func (g *Gateway) count(q *request, size float64) {
+func (g *Gateway) adjustUsage(q *request, cost float64) {
 	g.limits.mu.Lock()
 	defer g.limits.mu.Unlock()
 	now := g.clock.Now()
-	g.limits.limiter.Charge(now, q.organisation.Name, size)
-	g.limits.shares.Add(now, q.organisation.Name, size)
+	g.limits.limiter.Charge(now, q.organisation.Name, cost)
+	g.limits.shares.Add(now, q.organisation.Name, cost)
 }
--- a/gateway/tell.go
+++ b/gateway/load_updates.go
@@ -10,53 +10,53 @@
 // Least times between two tellings, if no reservation has changed.
 const (
 	// grownEvery is for what runs have made: some events of a run.
-	grownEvery = 160 * time.Millisecond
+	progressInterval = 160 * time.Millisecond
 	// notedEvery is for requests that went well: a part of the time for which they
 	// count.
-	notedEvery = 500 * time.Millisecond
+	outcomeInterval = 500 * time.Millisecond
 )
 
 // telling is what has happened since other gateways were told the last time.
-type telling struct {
+type pendingLoads struct {
 	// changed tells that reservations have changed or requests have failed, grown that
 	// runs have, and noted that requests have ended.
-	changed, grown, noted bool
+	changed, grown, ended bool
 	// at is when they were told, queued how many waiting requests, and failures tells
 	// that there were some, which have to be taken back.
-	at       time.Time
+	sentAt   time.Time
 	queued   int
 	failures bool
 }
 
 // due tells whether others have to be told, with a number of requests that wait now.
-func (t *telling) due(now time.Time, queued int) bool {
-	passed := now.Sub(t.at)
+func (t *pendingLoads) due(now time.Time, queued int) bool {
+	passed := now.Sub(t.sentAt)
 	switch {
 	case t.changed, queued != t.queued:
 		return true
-	case t.grown && passed >= grownEvery:
+	case t.grown && passed >= progressInterval:
 		return true
 	}
-	return (t.noted || t.failures) && passed >= notedEvery
+	return (t.ended || t.failures) && passed >= outcomeInterval
 }
 
 // loads returns what the other gateways have to hear: this gateway's reservations, how
 // many of its requests wait, and how its requests went of late; nil if they know it.
-func (f *fleet) loads(now time.Time) *wire.Loads {
+func (f *fleet) pendingUpdate(now time.Time) *wire.Loads {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.telling.due(now, f.queue.Len()) {
+	if !f.pending.due(now, f.queue.Len()) {
 		return nil
 	}
-	f.telling = telling{at: now, queued: f.queue.Len()}
+	f.pending = pendingLoads{sentAt: now, queued: f.queue.Len()}
 	out := &wire.Loads{Queued: f.queue.Len()}
 	loads, seen := f.view.Loads(), f.view.Evidence(now)
 	for id, e := range seen {
-		f.telling.failures = f.telling.failures || e.Bad > 0
+		f.pending.failures = f.pending.failures || e.Bad > 0
 		out.List = append(out.List, engineLoad(id, loads[id], e))
 	}
 	for id, l := range loads {
-		if _, told := seen[id]; !told {
+		if _, sent := seen[id]; !sent {
 			out.List = append(out.List, engineLoad(id, l, dispatch.Evidence{}))
 		}
 	}
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -18,20 +18,20 @@
 	// copyTimeout is how long the first copy of a run may take; the run goes on
 	// meanwhile. stopTimeout is how long the rest may take, while it stands
 	// still.
-	copyTimeout = 1500 * time.Millisecond
-	stopTimeout = 700 * time.Millisecond
+	firstCopyTimeout = 1500 * time.Millisecond
+	finalCopyTimeout = 700 * time.Millisecond
 	// leaveTimeout is how long the first copy may take if the engine leaves: a run
 	// that can't go on elsewhere goes back there, while the engine still takes it.
-	leaveTimeout = 400 * time.Millisecond
+	leavingCopyTimeout = 400 * time.Millisecond
 	// moveAgain is the time after which a run that could not move tries again.
-	moveAgain = 150 * time.Millisecond
+	migrationRetryDelay = 150 * time.Millisecond
 	// leastRest is the number of events that a run must have before it for a
 	// migration to be worth its bytes.
-	leastRest = 3
+	minRemainingEvents = 3
 )
 
 // mover is what a request knows of the migrations of its run.
-type mover struct {
+type migrationState struct {
 	// current is the migration under way, nil if there is none.
 	current   *migration
 	notBefore time.Time
@@ -41,7 +41,7 @@
 }
 
 // take returns the migration under way, if there is one, and forgets it.
-func (m *mover) take() *migration {
+func (m *migrationState) take() *migration {
 	out := m.current
 	m.current = nil
 	return out
@@ -61,15 +61,15 @@
 	// kv names the copy; stopped tells that the run has ended at the engine from,
 	// copied that the engine to has all of it, and unsure that the run may have stopped,
 	// since the answer to that is lost.
-	kv                      backend.KV
-	unsure, stopped, copied bool
-	err                     error
+	kv                            backend.KV
+	maybeStopped, stopped, copied bool
+	err                           error
 }
 
 // checkMigration ends a migration that has failed before the run was stopped: the
 // run goes on where it is, and may try again.
 func (n *generation) checkMigration() {
-	m := n.mover.current
+	m := n.migrations.current
 	if m == nil {
 		return
 	}
@@ -81,39 +81,39 @@
 	if m.stopped {
 		return // its stream ends, and follow goes on
 	}
-	n.mover.current = nil
-	n.mover.stopped = n.mover.stopped || m.unsure || m.stopped
-	n.mover.notBefore = n.g.clock.Now().Add(moveAgain)
-	n.giveUp(m, m.err)
+	n.migrations.current = nil
+	n.migrations.stopped = n.migrations.stopped || m.maybeStopped || m.stopped
+	n.migrations.notBefore = n.g.clock.Now().Add(migrationRetryDelay)
+	n.abandonMigration(m, m.err)
 }
 
 // moveOn starts a migration, unless one is under way or was not possible just
 // before.
-func (n *generation) moveOn(ctx context.Context, reason dispatch.MigrationReason) {
+func (n *generation) startMigration(ctx context.Context, reason dispatch.MigrationReason) {
 	engine, now := n.q.service.Engine, n.g.clock.Now()
-	if n.g.cfg.Protocol.CopyRun == nil || !engine.Migrates || !n.stream.canMove() || n.mover.current != nil || now.Before(n.mover.notBefore) {
+	if n.g.cfg.Protocol.CopyRun == nil || !engine.Migrates || !n.stream.canMigrate() || n.migrations.current != nil || now.Before(n.migrations.notBefore) {
 		return
 	}
-	n.mover.notBefore = now.Add(moveAgain)
-	if n.q.work.Expected-n.q.work.Generated < leastRest*engine.EventTokens {
+	n.migrations.notBefore = now.Add(migrationRetryDelay)
+	if n.q.work.Expected-n.q.work.Generated < minRemainingEvents*engine.EventTokens {
 		return
 	}
-	if !n.g.keepToRegions(n.q) {
+	if !n.g.narrowRegions(n.q) {
 		return
 	}
-	to, ok := n.g.fleet.migrationTarget(n.booked, n.q.work, engine)
+	to, ok := n.g.fleet.migrationTarget(n.decodeReserved, n.q.work, engine)
 	if !ok {
 		return
 	}
 	m := &migration{reason: reason, from: *n.pair.Decode, to: to, work: n.q.work, started: now, done: make(chan struct{})}
-	n.mover.current = m
+	n.migrations.current = m
 	n.g.wg.Go(func() { n.copyRun(ctx, m) })
 }
 
 // copyRun copies a run, stops it and copies the rest. It runs beside the stream.
 func (n *generation) copyRun(ctx context.Context, m *migration) {
 	defer close(m.done)
-	_, kv, err := n.askCopy(ctx, m, false)
+	_, kv, err := n.requestCopy(ctx, m, false)
 	if err != nil {
 		m.err = err
 		return
@@ -122,10 +122,10 @@
 	if m.err = ctx.Err(); m.err != nil {
 		return // nobody waits for the rest
 	}
-	status, kv, err := n.askCopy(ctx, m, true)
+	status, kv, err := n.requestCopy(ctx, m, true)
 	m.err = err
 	if kv.Handle == "" {
-		m.unsure = status == 0 && backend.WasSent(err) || status == http.StatusOK
+		m.maybeStopped = status == 0 && backend.WasSent(err) || status == http.StatusOK
 		return
 	}
 	m.kv, m.stopped = kv, true
@@ -135,15 +135,15 @@
 // askCopy has a run copied. An engine without room for it still names the copy
 // if the run was stopped, since it keeps the run's KV cache then. The call outlives the caller:
 // an engine makes the copy all the same, and only who hears its name can free it.
-func (n *generation) askCopy(ctx context.Context, m *migration, stop bool) (int, backend.KV, error) {
-	limit := copyTimeout
+func (n *generation) requestCopy(ctx context.Context, m *migration, stop bool) (int, backend.KV, error) {
+	limit := firstCopyTimeout
 	switch {
 	case stop:
-		limit = stopTimeout
+		limit = finalCopyTimeout
 	case m.reason == dispatch.Leaving:
-		limit = leaveTimeout
+		limit = leavingCopyTimeout
 	}
-	ctx, cancel := n.g.outlive(ctx, limit)
+	ctx, cancel := n.g.detachedContext(ctx, limit)
 	defer cancel()
 	p := &n.g.cfg.Protocol
 	a, err := n.g.pool.Do(ctx, &p.Headers, n.callTo(&m.from, p.CopyRun(n.q.id, m.to.Address, stop)))
@@ -165,101 +165,101 @@
 // to. It returns the last of them.
 func (n *generation) relay(ctx context.Context, s *dispatch.Server, a *backend.Answer) (*dispatch.Server, *backend.Answer, error) {
 	for {
-		err := n.stream.copy(a, s)
-		m := n.mover.take()
+		err := n.stream.relay(a, s)
+		m := n.migrations.take()
 		if m != nil && ctx.Err() != nil {
 			n.g.wg.Go(func() {
 				<-m.done
-				n.giveUp(m, m.err)
+				n.abandonMigration(m, m.err)
 			})
 			return s, a, err
 		}
 		if m != nil {
 			<-m.done
-			n.mover.stopped = n.mover.stopped || m.unsure || m.stopped
+			n.migrations.stopped = n.migrations.stopped || m.maybeStopped || m.stopped
 		}
-		if err == nil && n.mover.stopped && !a.Framed {
-			err = errNoRunLeft // the end of a stopped run looks like that of a whole one
+		if err == nil && n.migrations.stopped && !a.Framed {
+			err = errRunStopped // the end of a stopped run looks like that of a whole one
 		}
 		if m == nil {
 			return s, a, err
 		}
-		next := n.follow(ctx, m, err)
+		next := n.followMigration(ctx, m, err)
 		if next == nil {
 			return s, a, err
 		}
 		a.Close()
-		n.mover.stopped = false
+		n.migrations.stopped = false
 		s, a = n.pair.Decode, next
 	}
 }
 
 // follow continues a run that has moved, or that was to move and could not after
 // it had been stopped. It returns nil if its stream has ended, whole or not.
-func (n *generation) follow(ctx context.Context, m *migration, streamErr error) *backend.Answer {
+func (n *generation) followMigration(ctx context.Context, m *migration, streamErr error) *backend.Answer {
 	var a *backend.Answer
 	err := m.err
-	if m.stopped && streamErr != nil && n.stream.canGoOn() && ctx.Err() == nil {
+	if m.stopped && streamErr != nil && n.stream.canResume() && ctx.Err() == nil {
 		a, err = n.continueRun(ctx, m)
 	}
 	if a == nil {
-		n.giveUp(m, err)
+		n.abandonMigration(m, err)
 		return nil
 	}
-	if n.booked == m.to.ID {
+	if n.decodeReserved == m.to.ID {
 		n.noteMigration(m, "moved", nil)
 		return a
 	}
 	n.noteMigration(m, "returned", err)
-	n.g.fleet.release(m.to.ID, m.work)
+	n.g.fleet.releaseDecode(m.to.ID, m.work)
 	return a
 }
 
 // giveUp ends a migration that has not come about.
-func (n *generation) giveUp(m *migration, err error) {
+func (n *generation) abandonMigration(m *migration, err error) {
 	n.noteMigration(m, "stayed", err)
-	n.g.fleet.release(m.to.ID, m.work)
+	n.g.fleet.releaseDecode(m.to.ID, m.work)
 	n.freeCopy(m)
 }
 
-var errNotCopied = errors.New("gateway: the other engine has no room for the run")
+var errRunNotCopied = errors.New("gateway: the other engine has no room for the run")
 
 // continueRun sends the request to the engine that has the copy, or, if that one
 // has not begun with it, back to the one that the run was stopped at.
 func (n *generation) continueRun(ctx context.Context, m *migration) (*backend.Answer, error) {
-	err, begun := errNotCopied, false
+	err, mayRun := errRunNotCopied, false
 	var a *backend.Answer
-	if m.copied && n.g.fleet.listed(m.to.ID) {
-		if a, begun, err = n.sendCopy(ctx, m, &m.to); a != nil {
-			n.settle(m)
+	if m.copied && n.g.fleet.available(m.to.ID) {
+		if a, mayRun, err = n.resumeCopy(ctx, m, &m.to); a != nil {
+			n.completeMigration(m)
 			return a, nil
 		}
 	}
-	if begun {
+	if mayRun {
 		return nil, err
 	}
-	a, _, err = n.sendCopy(ctx, m, &m.from)
+	a, _, err = n.resumeCopy(ctx, m, &m.from)
 	return a, err
 }
 
 // sendCopy sends the request with the name of its copy to an engine. Begun tells
 // that the engine may work on it.
-func (n *generation) sendCopy(ctx context.Context, m *migration, s *dispatch.Server) (a *backend.Answer, begun bool, err error) {
+func (n *generation) resumeCopy(ctx context.Context, m *migration, s *dispatch.Server) (a *backend.Answer, mayRun bool, err error) {
 	h := &n.g.cfg.Protocol.Headers
 	r := n.sendTo(s)
 	r.Header.Set(h.KVSource, m.from.Address+"/"+m.kv.Handle)
-	n.resumeAt(r.Header)
+	n.setLastEventID(r.Header)
 	started := n.g.clock.Now()
 	a, err = n.g.pool.Do(ctx, h, r)
 	if err != nil {
 		var be *backend.Error
-		begun = !errors.As(err, &be) || be.Sent
-		if begun && ctx.Err() == nil {
-			n.g.lookAfter(n.q, s, n.g.clock.Since(started))
+		mayRun = !errors.As(err, &be) || be.Sent
+		if mayRun && ctx.Err() == nil {
+			n.g.checkAfterFailure(n.q, s, n.g.clock.Since(started))
 		}
-		return nil, begun, err
+		return nil, mayRun, err
 	}
-	if res, ok := n.g.turnedAway(n.q, s, a); ok {
+	if res, ok := n.g.rejected(n.q, s, a); ok {
 		n.g.fleet.noteHandover(dispatch.Handover{RefusedBy: []string{s.ID}})
 		return nil, false, fmt.Errorf("gateway: status %d to a copied run", res.status)
 	}
@@ -271,11 +271,11 @@
 }
 
 // settle books a run where it has moved to.
-func (n *generation) settle(m *migration) {
-	n.g.fleet.release(m.from.ID, n.q.work)
-	n.q.work, _ = n.g.fleet.grow(m.to.ID, m.work, n.q.service.Engine, n.q.work.Generated)
-	n.booked, n.pair.Decode = m.to.ID, &m.to
-	n.mover.count++
+func (n *generation) completeMigration(m *migration) {
+	n.g.fleet.releaseDecode(m.from.ID, n.q.work)
+	n.q.work, _ = n.g.fleet.growReservation(m.to.ID, m.work, n.q.service.Engine, n.q.work.Generated)
+	n.decodeReserved, n.pair.Decode = m.to.ID, &m.to
+	n.migrations.count++
 }
 
 // freeCopy frees a copy that is not used, at both engines.
@@ -283,7 +283,7 @@
 	if m.kv.Handle == "" {
 		return
 	}
-	n.giveBack(&m.from, n.g.cfg.Protocol.FreeKV(m.kv.Handle))
+	n.freeInBackground(&m.from, n.g.cfg.Protocol.FreeKV(m.kv.Handle))
 }
 
 func (n *generation) noteMigration(m *migration, outcome string, err error) {
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -15,7 +15,7 @@
 	started := g.clock.Now()
 	r := n.sendTo(s)
 	r.Header.Set(h.Role, registry.Prefill)
-	n.resumeAt(r.Header)
+	n.setLastEventID(r.Header)
 	limit := 2*n.pair.PrefillTime + time.Second
 	pctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -27,25 +27,25 @@
 		if res.kind == answered {
 			res.kind = broken
 		}
-		g.fleet.note(s.ID, outcomeOf(ctx, res), 0)
+		g.fleet.noteOutcome(s.ID, outcomeOf(ctx, res), 0)
 		return res
 	}
 	kv, err := g.cfg.Protocol.ParseKV(body)
 	if err != nil {
-		g.fleet.note(s.ID, dispatch.Failure, 0)
+		g.fleet.noteOutcome(s.ID, dispatch.Failure, 0)
 		return result{kind: broken, err: err}
 	}
-	g.fleet.note(s.ID, dispatch.Success, g.clock.Since(started))
-	g.fleet.noteRead(s.ID, g.clock.Since(started), n.pair.QueuedTokens)
-	n.kv, n.kvFrom, n.kvAt = kv, *s, g.clock.Now()
+	g.fleet.noteOutcome(s.ID, dispatch.Success, g.clock.Since(started))
+	g.fleet.notePrefill(s.ID, g.clock.Since(started), n.pair.QueuedTokens)
+	n.kv, n.kvSource, n.kvReadyAt = kv, *s, g.clock.Now()
 	n.handover = dispatch.Handover{Prefill: s.ID}
 	return res
 }
 
 // endRead takes back the booking of the read.
-func (n *generation) endRead() {
-	if n.reader != "" {
-		n.g.fleet.endRead(n.reader, n.q.work)
-		n.reader = ""
+func (n *generation) releasePrefill() {
+	if n.prefillReserved != "" {
+		n.g.fleet.releasePrefill(n.prefillReserved, n.q.work)
+		n.prefillReserved = ""
 	}
 }
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -15,9 +15,9 @@
 	f.mu.Lock()
 	f.placed[w] = placed
 	f.queue.Add(w)
-	f.serve()
+	f.serveQueue()
 	f.mu.Unlock()
-	return awaitPlace(ctx, placed, limit, func() {
+	return awaitAssignment(ctx, placed, limit, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.queue.Remove(w)
@@ -28,28 +28,28 @@
 // awaitPlace returns what is found for a request until the context ends or the limit is over.
 // Leave takes the request from its queue; what was found for it until then counts too, since it
 // is booked.
-func awaitPlace[T any](ctx context.Context, found <-chan T, limit time.Duration, leave func()) (T, bool) {
+func awaitAssignment[T any](ctx context.Context, assigned <-chan T, limit time.Duration, leave func()) (T, bool) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
-	case place := <-found:
-		return place, true
+	case v := <-assigned:
+		return v, true
 	case <-t.C:
 	case <-ctx.Done():
 	}
 	leave()
 	select {
-	case place := <-found:
-		return place, true
+	case v := <-assigned:
+		return v, true
 	default:
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
 
 // serve books engines for the requests that wait and find room. Callers hold the lock.
-func (f *fleet) serve() {
-	f.servePlain()
+func (f *fleet) serveQueue() {
+	f.servePlainQueue()
 	f.view.ServeQueue(f.clock.Now(), &f.queue, func(w *dispatch.QueuedRequest, p dispatch.Pair) {
 		decode := *p.Decode
 		out := dispatch.Pair{Decode: &decode, PrefillTime: p.PrefillTime, QueuedTokens: p.QueuedTokens}
@@ -57,14 +57,14 @@
 			prefill := *p.Prefill
 			out.Prefill = &prefill
 		}
-		f.telling.changed = true
+		f.pending.changed = true
 		f.placed[w] <- out
 		delete(f.placed, w)
 	})
 }
 
 // move books another decode engine for a prompt that has been read.
-func (f *fleet) move(w dispatch.Work, e *route.Engine, zone string, avoid dispatch.Avoid) (dispatch.Server, bool) {
+func (f *fleet) reserveDecode(w dispatch.Work, e *route.Engine, zone string, avoid dispatch.Avoid) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reserve(f.view.ChooseDecode(f.clock.Now(), w, e, zone, avoid), w)
--- a/gateway/region.go
+++ b/gateway/region.go
@@ -7,16 +7,16 @@
 
 // nextServer chooses another plain server for a request that was sent before.
 func (g *Gateway) nextServer(q *request) (dispatch.Server, bool) {
-	if !g.keepToRegions(q) {
+	if !g.narrowRegions(q) {
 		return dispatch.Server{}, false
 	}
-	return g.fleet.plain(q.work, q.tried)
+	return g.fleet.choosePlain(q.work, q.tried)
 }
 
 // keepToRegions brings a request that goes to a further server in line with the newest table:
 // where it may be served is what the table of its arrival and the newest one both allow. It
 // returns false if that is nowhere.
-func (g *Gateway) keepToRegions(q *request) bool {
+func (g *Gateway) narrowRegions(q *request) bool {
 	newest := g.table.Load()
 	r := newest.Lookup(q.send.Host, q.path)
 	if r == nil {
@@ -26,11 +26,11 @@
 	if o != nil {
 		o = newest.Organisation(o.Name)
 	}
-	now, ok := r.RegionsFor(o)
+	allowed, ok := r.RegionsFor(o)
 	if !ok {
 		return false
 	}
-	both, ok := route.CommonRegions(q.work.Regions, now)
+	both, ok := route.CommonRegions(q.work.Regions, allowed)
 	if ok { // else they stay: none would stand for all
 		q.work.Regions = both
 	}
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -14,25 +14,25 @@
 )
 
 // mostReportLines bounds the servers and fields of which lines are written in a while.
-const mostReportLines = 64
+const maxReportLines = 64
 
 // pausedServers is what a gateway keeps of pauses beside the servers. The fleet's lock guards it.
 type pausedServers struct {
 	// some tells that some server wants a pause, or did until just before. It is read without
 	// the lock, by each request.
-	some atomic.Bool
+	present atomic.Bool
 	// told are the servers whose pause was logged and is not over.
-	told map[string]bool
+	logged map[string]bool
 }
 
 // answered takes what the head of an answer says of its server. The answer came to a request that
 // was sent some time ago.
-func (g *Gateway) answered(id string, ago time.Duration, status int, head http.Header) {
+func (g *Gateway) noteAnswer(id string, ago time.Duration, status int, head http.Header) {
 	if id == "" {
 		return
 	}
 	r := g.cfg.Protocol.SelfReport(status, head)
-	if r.Empty() && !g.fleet.limited.some.Load() {
+	if r.Empty() && !g.fleet.limited.present.Load() {
 		return
 	}
 	now := g.clock.Now()
@@ -48,7 +48,7 @@
 	if r.Empty() {
 		return
 	}
-	s, ok := g.fleet.server(id)
+	s, ok := g.fleet.lookup(id)
 	if !ok {
 		return
 	}
@@ -58,17 +58,17 @@
 	for _, u := range r.UnreadableFields {
 		metric.ServerReportsUnread.WithLabelValues(s.Service, string(u.Field)).Inc()
 		if g.unreadReports.Allow(r.Received, id+string(u.Field)) {
-			event.ServerReportUnread.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", clipped(u.Values))
+			event.ServerReportUnread.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", truncated(u.Values))
 		}
 	}
 }
 
 // clipped returns values that a server decides on, short enough for a log line.
-func clipped(values []string) []string {
-	const mostValues, mostBytes = 3, 40
-	out := make([]string, 0, mostValues)
-	for _, v := range values[:min(len(values), mostValues)] {
-		out = append(out, v[:min(len(v), mostBytes)])
+func truncated(values []string) []string {
+	const maxValues, maxBytes = 3, 40
+	out := make([]string, 0, maxValues)
+	for _, v := range values[:min(len(values), maxValues)] {
+		out = append(out, v[:min(len(v), maxBytes)])
 	}
 	return out
 }
@@ -76,7 +76,7 @@
 // logChange writes what a report of a server has changed.
 func (g *Gateway) logChange(c dispatch.Change, r *selfreport.Report) {
 	if c.Field == selfreport.Limit {
-		g.logLimit(c.Limit, byServer)
+		g.logLimit(c.Limit, sourceServer)
 		return
 	}
 	event.ServerReport.Log(g.log, "server", c.Server.StableName(), "service", c.Server.Service, "field", string(c.Field),
@@ -92,48 +92,48 @@
 	for _, c := range changes {
 		switch c.Field {
 		case selfreport.Limit:
-			f.limited.some.Store(f.view.CountLimited(now) > 0)
+			f.limited.present.Store(f.view.CountLimited(now) > 0)
 		case selfreport.RetryAfter:
-			f.paused.some.Store(true)
-			f.paused.told[id] = true
-			time.AfterFunc(f.view.PauseRemaining(now, id), f.wake)
+			f.paused.present.Store(true)
+			f.paused.logged[id] = true
+			time.AfterFunc(f.view.PauseRemaining(now, id), f.serveAfterPause)
 		}
 	}
 	return changes
 }
 
 // wake serves the requests that wait for a server to be back.
-func (f *fleet) wake() {
+func (f *fleet) serveAfterPause() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.serve()
+	f.serveQueue()
 }
 
 // endPauses returns the servers whose pauses are over since the last call. Callers hold the lock.
-func (f *fleet) endPauses(now time.Time) []dispatch.Server {
+func (f *fleet) expiredPauses(now time.Time) []dispatch.Server {
 	var out []dispatch.Server
-	for id := range f.paused.told {
+	for id := range f.paused.logged {
 		if f.view.PauseRemaining(now, id) > 0 {
 			continue
 		}
-		delete(f.paused.told, id)
+		delete(f.paused.logged, id)
 		if s := f.view.Get(id); s != nil {
 			out = append(out, *s)
 		}
 	}
-	f.paused.some.Store(f.view.CountPaused(now) > 0)
+	f.paused.present.Store(f.view.CountPaused(now) > 0)
 	return out
 }
 
 // pauses returns how long this gateway still stays away from each server that wants that, in
 // milliseconds.
-func (f *fleet) pauses() map[string]int64 {
+func (f *fleet) pausesMs() map[string]int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]int64{}
 	for _, s := range f.view.List() {
-		if left := s.PauseRemaining(f.clock.Now()); left > 0 {
-			out[s.StableName()] = left.Milliseconds()
+		if remaining := s.PauseRemaining(f.clock.Now()); remaining > 0 {
+			out[s.StableName()] = remaining.Milliseconds()
 		}
 	}
 	return out
@@ -142,7 +142,7 @@
 // admit tells why a server takes no request or call now, or counts it. Those that were placed at
 // the server were counted against its limit then.
 func (f *fleet) admit(r *backend.Request) error {
-	paused, limited := f.paused.some.Load(), f.limited.some.Load() && !r.Admitted
+	paused, limited := f.paused.present.Load(), f.limited.present.Load() && !r.Admitted
 	if r.Server == "" || !paused && !limited {
 		return nil
 	}
@@ -163,8 +163,8 @@
 
 // awaitsPause returns how long it takes until the first server in a role is back from a pause;
 // false if some server wants none, or there is none at all.
-func (f *fleet) awaitsPause(w dispatch.Work, role string) (time.Duration, bool) {
-	if !f.paused.some.Load() {
+func (f *fleet) minPauseRemaining(w dispatch.Work, role string) (time.Duration, bool) {
+	if !f.paused.present.Load() {
 		return 0, false
 	}
 	f.mu.Lock()
@@ -173,7 +173,7 @@
 }
 
 // tellLeaving tells a replica of control which servers have said that they leave.
-func (l *links) tellLeaving(hub *wire.Link) {
+func (l *links) sendLeaving(hub *wire.Link) {
 	if hub.Speaks() < wire.KnowsLeaving {
 		return
 	}
--- a/gateway/awake.go
+++ b/gateway/suspend.go
@@ -14,15 +14,15 @@
 
 // stillFor is the time without a step of the links' loop after which the process must have
 // stood still: replicas have given its links up by then.
-const stillFor = linkIdle
+const suspendedAfter = linkIdleTimeout
 
 // notice finds out whether the process has stood still until now. Callers hold the lock.
-func (l *links) notice(now time.Time) {
-	if l.tickedAt.IsZero() || now.Sub(l.tickedAt) < stillFor {
+func (l *links) detectSuspension(now time.Time) {
+	if l.lastTick.IsZero() || now.Sub(l.lastTick) < suspendedAfter {
 		return
 	}
-	event.StoodStill.Log(l.g.log, "ms", now.Sub(l.tickedAt).Milliseconds())
-	l.tickedAt, l.wokeAt = now, now
+	event.StoodStill.Log(l.g.log, "ms", now.Sub(l.lastTick).Milliseconds())
+	l.lastTick, l.resumedAt = now, now
 	if l.current == nil {
 		l.current = make(chan struct{})
 	}
@@ -34,11 +34,11 @@
 }
 
 // upToDate takes that a replica has told the newest over its link.
-func (l *links) upToDate(address string) {
+func (l *links) confirmCurrent(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[address]
-	if l.current == nil || p == nil || p.began.Before(l.wokeAt) {
+	if l.current == nil || p == nil || p.dialedAt.Before(l.resumedAt) {
 		return
 	}
 	close(l.current)
@@ -49,13 +49,13 @@
 // one that has just started waits for its first table.
 func (l *links) awaitCurrent(ctx context.Context) {
 	l.mu.Lock()
-	l.notice(l.g.clock.Now())
-	current, left := l.current, l.g.clock.Until(l.wokeAt.Add(firstTable))
+	l.detectSuspension(l.g.clock.Now())
+	current, remaining := l.current, l.g.clock.Until(l.resumedAt.Add(firstTableTimeout))
 	l.mu.Unlock()
-	if current == nil || left <= 0 {
+	if current == nil || remaining <= 0 {
 		return
 	}
-	t := time.NewTimer(left)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
 	case <-current:
