--- a/gateway/abort.go
+++ b/gateway/abort.go
@@ -4,12 +4,12 @@
 	"net/http"
 )
 
-// lingering is a connection that can be reset.
+// lingerSetter is a connection that can be closed with a reset.
 type lingerSetter interface{ SetLinger(seconds int) error }
 
-// cut ends an answer that is not whole, so that it does not look whole. One in chunks
-// lacks its last chunk. A caller that reads none (HTTP/1.0) takes the end of the
-// connection for that of the answer, unless it is reset.
+// abortAnswer ends an incomplete answer so that the caller can't mistake it for a complete one. A
+// chunked answer lacks its last chunk. For a caller without chunks (HTTP/1.0) the end of the
+// connection is the end of the answer, so that connection is reset.
 func abortAnswer(w http.ResponseWriter, chunked bool) {
 	if !chunked {
 		resetConnection(w)
@@ -17,11 +17,11 @@
 	panic(http.ErrAbortHandler)
 }
 
-// reset closes a caller's connection so that it sees a reset.
+// resetConnection closes a caller's connection with a reset.
 func resetConnection(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // it is closed in any case
+		return // the connection closes anyway
 	}
 	if l, ok := c.(lingerSetter); ok {
 		_ = l.SetLinger(0)
--- a/gateway/await_server.go
+++ b/gateway/await_server.go
@@ -11,20 +11,19 @@
 	"github.com/ledgepin/ledgepin/dispatch"
 )
 
-// lack is what a request to a plain service waits for, while no server of the service takes it.
+// waitReason is why a request to a plain service waits: no server of the service accepts it now.
 type waitReason int
 
-// The lacks.
 const (
-	// lackServer: no server is known.
+	// waitForServer: no server of the service is known.
 	waitForServer waitReason = iota
-	// lackToken: the servers name limits.
+	// waitForToken: the servers have announced rate limits, and only tokens are missing.
 	waitForToken
-	// lackPause: the servers want no requests for a time.
+	// waitForPause: the servers have asked for no requests for a while.
 	waitForPause
 )
 
-// lacks returns what a request waits for, and how long that is likely to take.
+// waitReason returns why a request waits, and the expected wait.
 func (f *fleet) waitReason(q *request) (waitReason, time.Duration) {
 	if !f.limited.present.Load() && !f.paused.present.Load() {
 		return waitForServer, 0
@@ -41,18 +40,18 @@
 	return waitForServer, 0
 }
 
-// serverWaiter is a request to a plain service that waits for a server to take it.
+// serverWaiter is a request to a plain service that waits for a server to accept it.
 type serverWaiter struct {
 	work     dispatch.Work
 	avoid    dispatch.Avoid
 	priority int
-	// due is when its answer is late.
+	// due is the time after which its answer is late.
 	due      time.Time
 	assigned chan dispatch.Server
 }
 
-// awaitServer has a request wait for a server, if one is likely to take it in time: the most urgent
-// are served first, and of these those that are due first.
+// awaitServer queues a request until a server accepts it, provided that the expected wait leaves
+// enough time. Requests are served by priority, then by due time.
 func (g *Gateway) awaitServer(ctx context.Context, q *request, expected time.Duration) (dispatch.Server, bool) {
 	f := g.fleet
 	limit := q.route.Target/2 - g.clock.Since(q.arrived)
@@ -71,7 +70,7 @@
 	})
 }
 
-// wait returns how long a request that comes now is likely to wait for a token.
+// expectedWait returns how long a request that arrives now is likely to wait for a token.
 func (s *limitedServers) expectedWait(service string) time.Duration {
 	supply := s.supply[service]
 	if supply.Rate <= 0 {
@@ -91,7 +90,7 @@
 	s.waiting = slices.DeleteFunc(s.waiting, func(o *serverWaiter) bool { return o == w })
 }
 
-// servePlain places the requests that wait for a server. Callers hold the lock.
+// servePlainQueue assigns servers to the requests that wait for one. The caller holds f.mu.
 func (f *fleet) servePlainQueue() {
 	now := f.clock.Now()
 	f.limited.waiting = slices.DeleteFunc(f.limited.waiting, func(w *serverWaiter) bool {
@@ -104,20 +103,20 @@
 	})
 }
 
-// begin counts a request at a plain server that was chosen. Callers hold the lock.
+// startRequest counts a request at the plain server chosen for it. The caller holds f.mu.
 func (f *fleet) startRequest(now time.Time, s *dispatch.Server) dispatch.Server {
 	s.Open++
 	f.view.NoteSent(now, s.ID)
 	return *s
 }
 
-// Bounds of the time after which a caller comes back that found no token.
+// Bounds of the Retry-After of a caller whose request got no token.
 const (
 	minLimitedRetry = 100 * time.Millisecond
 	maxLimitedRetry = 2 * time.Second
 )
 
-// refuseForNow refuses a request that no server of its service takes now.
+// refuseTemporarily refuses a request that no server of its service accepts now.
 func (g *Gateway) refuseTemporarily(w http.ResponseWriter, q *request, reason waitReason, wait time.Duration) {
 	r := refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the servers take no more requests now"}
 	if reason == waitForPause {
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -8,14 +8,14 @@
 	"github.com/ledgepin/ledgepin/membudget"
 )
 
-// Errors of what is not held for a caller.
+// Errors of bodies that are not kept in memory.
 var (
-	errBodyTooLarge = errors.New("gateway: the body is too large")
-	errNoMemory     = errors.New("gateway: no memory for what is to be held")
+	errBodyTooLarge = errors.New("gateway: request body too large")
+	errNoMemory     = errors.New("gateway: memory limit reached")
 )
 
-// readBody reads a body of at most limit bytes, no limit if it is zero, for which there must be
-// memory at once: a caller can come back, or go to another gateway.
+// readBody reads a body of at most limit bytes, or of any size if limit is zero. It doesn't wait
+// for memory: the caller can retry, here or at another gateway.
 func readBody(r *http.Request, limit int64, memory *membudget.Account) ([]byte, error) {
 	if limit <= 0 {
 		limit = 1 << 30
@@ -34,7 +34,7 @@
 	return readChunked(r.Body, limit, memory)
 }
 
-// readChunked reads a body whose length is not told.
+// readChunked reads a body of unknown length.
 func readChunked(r io.Reader, limit int64, memory *membudget.Account) ([]byte, error) {
 	var body []byte
 	for {
--- a/gateway/buffer.go
+++ b/gateway/buffer.go
@@ -18,41 +18,41 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// Sizes of what is held for callers.
+// Sizes of what is held in memory for callers.
 const (
-	// maxAnswer bounds an answer that is held in memory.
+	// maxAnswer bounds the size of an answer held in memory.
 	maxAnswer = 16 << 20
-	// heldPart is the most that is read of an answer at once, firstPart what is read of one
-	// whose length is not told.
+	// maxReadSize bounds a single read of an answer; firstReadSize is the size of the first read if
+	// the length of the answer is unknown.
 	maxReadSize   = 64 << 10
 	firstReadSize = 4 << 10
-	// streamMemory is what a stream counts for, whose events are short.
+	// streamMemory is the memory accounted for a stream with short events.
 	streamMemory = 2*streamBuffer + 16<<10
 )
 
-// unsentMost is what the kernel keeps for a caller beyond what is on its way: else it takes some
-// megabytes for each that does not read.
+// maxUnsentBytes bounds the unsent data that the kernel buffers for a caller: otherwise it uses
+// several megabytes for each caller that doesn't read.
 const maxUnsentBytes = 64 << 10
 
-// ConnContext bounds what the kernel keeps for a new connection of a caller; http.Server wants
-// it so.
+// ConnContext bounds the kernel's send buffer of a new connection of a caller. It has the signature
+// of http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	sock.BoundUnsent(c, maxUnsentBytes)
 	return ctx
 }
 
-// heldAnswer is a whole answer in memory, in parts that are given back as they are written.
+// bufferedAnswer is a complete answer in memory, in chunks that are released as they are written.
 type bufferedAnswer struct {
 	chunks [][]byte
 	size   int64
-	// counted are the bytes that it counts for.
+	// reserved is the memory accounted for the answer, in bytes.
 	reserved int64
 }
 
-// errTooLong tells that an answer is longer than what is held.
-var errAnswerTooLong = errors.New("gateway: the answer is longer than what is held of one")
+// errAnswerTooLong means that an answer exceeds maxAnswer.
+var errAnswerTooLong = errors.New("gateway: answer exceeds the max size")
 
-// readWhole reads the whole answer of a server, no faster than there is memory for it.
+// readAnswer reads the complete answer of a server, no faster than memory becomes available for it.
 func readAnswer(ctx context.Context, memory *membudget.Account, a *backend.Answer) (bufferedAnswer, error) {
 	defer a.Close()
 	var h bufferedAnswer
@@ -68,9 +68,9 @@
 	}
 }
 
-// readPart reads the next part, once there is memory for it.
+// readChunk reads the next chunk, once there is memory for it.
 func (h *bufferedAnswer) readChunk(ctx context.Context, memory *membudget.Account, a *backend.Answer) error {
-	// A byte more than there may be tells whether an answer ends there.
+	// One byte beyond the max size shows whether the answer ends there.
 	size := min(h.nextSize(a.Length), maxAnswer+1-h.size)
 	if size <= 0 {
 		return errAnswerTooLong
@@ -84,7 +84,8 @@
 	return err
 }
 
-// takeMemory waits until there is memory. Its error says that it is no server's fault.
+// reserveMemory waits until memory is available. Its error wraps errNoMemory, so that no server is
+// blamed.
 func reserveMemory(ctx context.Context, memory *membudget.Account, n int64) error {
 	if err := memory.Reserve(ctx, n); err != nil {
 		return fmt.Errorf("%w: %w", errNoMemory, err)
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// next returns how much is read next: the rest of an answer and its end, or a part.
+// nextSize returns the size of the next read: the rest of an answer and its end, or a chunk.
 func (h *bufferedAnswer) nextSize(length int64) int64 {
 	switch {
 	case length >= 0:
@@ -103,7 +104,7 @@
 	return maxReadSize
 }
 
-// fill reads until a part is full or the source ends.
+// fill reads until buf is full or the source ends.
 func fill(r io.Reader, buf []byte) (int, error) {
 	n := 0
 	for n < len(buf) {
@@ -115,7 +116,7 @@
 	return n, nil
 }
 
-// shift gives the first part back.
+// releaseFirst releases the first chunk.
 func (h *bufferedAnswer) releaseFirst(memory *membudget.Account) {
 	n := int64(cap(h.chunks[0]))
 	h.chunks[0], h.chunks = nil, h.chunks[1:]
@@ -123,22 +124,22 @@
 	memory.Release(n)
 }
 
-// drop gives all parts back.
+// release releases all chunks.
 func (h *bufferedAnswer) release(memory *membudget.Account) {
 	memory.Release(h.reserved)
 	*h = bufferedAnswer{}
 }
 
-// memoryFullEvery is the least time between two lines about a full memory.
+// memoryFullLogInterval is the min time between two log lines about full memory.
 const memoryFullLogInterval = 10 * time.Second
 
-// memoryRetry is when a caller should come back that there is no memory for: others must have
-// read their answers.
+// memoryRetry is the Retry-After of a request refused for lack of memory: other callers must first
+// have read their answers.
 const memoryRetry = time.Second
 
-// cutWrite ends the write of an answer that is given up.
+// abortWrite ends the write of an answer that is given up.
 func abortWrite(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(clock.Deadline(0)) // a connection that has ended needs none
+	_ = http.NewResponseController(w).SetWriteDeadline(clock.Deadline(0)) // fails only on a closed connection, which needs no deadline
 }
 
 func organisationName(o *route.Organisation) string {
@@ -148,7 +149,7 @@
 	return o.Name
 }
 
-// noMemory refuses a request that there is no memory for.
+// refuseNoMemory refuses a request for which there is no memory.
 func (g *Gateway) refuseNoMemory(q *request) *refusal {
 	metric.MemoryRefusals.WithLabelValues(q.route.Name).Inc()
 	if g.memoryFull.Allow(g.clock.Now(), "full") {
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -10,12 +10,12 @@
 	"github.com/ledgepin/ledgepin/dispatch"
 )
 
-// callTo returns a call of the gateway's own to an engine.
+// callTo returns a call from the gateway itself to an engine.
 func (n *generation) callTo(s *dispatch.Server, c backend.Call) backend.Request {
 	return n.g.callTo(n.q, s, c)
 }
 
-// callTo returns a call of the gateway's own to an engine, for a request.
+// callTo returns a call from the gateway itself to an engine, on behalf of a request.
 func (g *Gateway) callTo(q *request, s *dispatch.Server, c backend.Call) backend.Request {
 	r := backend.Request{Address: s.Address, Method: c.Method, Target: c.Path, Host: s.Address, Header: http.Header{}, Body: c.Body}
 	r.Server = s.ID
@@ -27,8 +27,8 @@
 	return r
 }
 
-// outlive returns a context for a call that makes something at an engine, which has to be freed if
-// the caller leaves meanwhile. It ends with the gateway, and after a time.
+// detachedContext returns a context for a call that allocates something at an engine, which has to
+// be freed even if the caller disconnects meanwhile. It ends with the gateway, or after limit.
 func (g *Gateway) detachedContext(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	stop := context.AfterFunc(g.ctx, cancel)
@@ -38,7 +38,7 @@
 	}
 }
 
-// exchange sends to an engine, for a request, what is answered by a whole body.
+// exchange sends a call to an engine on behalf of a request, and reads the complete answer.
 func (g *Gateway) exchange(ctx context.Context, q *request, s *dispatch.Server, r backend.Request) (result, []byte) {
 	a, err := g.pool.Do(ctx, &g.cfg.Protocol.Headers, r)
 	if err != nil {
@@ -58,12 +58,12 @@
 	return result{kind: answered, status: a.Status, header: a.Header}, body
 }
 
-// giveBackTime is how long an engine may take to free what nobody uses.
+// freeTimeout bounds how long an engine may take to free something unused.
 const freeTimeout = 300 * time.Millisecond
 
-// giveBack sends a call that frees something at an engine. It outlives the
-// request that it belongs to, whose caller may have left. Where nothing more is sent, what is
-// not used lapses by itself.
+// freeInBackground sends a call that frees something at an engine. It outlives its request, whose
+// caller may have disconnected. An evacuated zone gets no more calls; what is unused there expires
+// by itself.
 func (n *generation) freeInBackground(s *dispatch.Server, c backend.Call) {
 	g := n.g
 	if g.evacuated.has(s.Zone) {
--- a/gateway/check_server.go
+++ b/gateway/check_server.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// lookTime is how long a server may take to show that it is there; one that is there
-	// takes some milliseconds, but a health check may wait for a slot.
+	// checkTimeout bounds how long a server may take to prove that it is running. One that is
+	// running needs a few milliseconds, but a health check may wait for a slot.
 	checkTimeout = 300 * time.Millisecond
-	// lookAgain is the time between two looks at a server that resets what it gets: one
-	// with too many connections takes new ones again by then, one that has ended does not.
+	// recheckDelay is the time between two checks of a server that resets connections: by then a
+	// server with too many connections accepts new ones again, while one that has crashed doesn't.
 	recheckDelay = 100 * time.Millisecond
 )
 
-var errRestarted = errors.New("gateway: the server has started again")
+var errRestarted = errors.New("gateway: the server has restarted")
 
-// lookAfter finds out whether a server has ended under a request that broke off there, some
-// time after it was sent. A connection that broke alone, as by a reset on the way, says
-// nothing of the request.
+// checkAfterFailure checks whether a server has crashed under a request that was interrupted there,
+// some time after it was sent. A broken connection alone, such as after a reset by the network, is
+// no evidence against the request.
 func (g *Gateway) checkAfterFailure(q *request, s *dispatch.Server, elapsed time.Duration) {
 	generated, failure := q.work.Generated, g.contents.noteInterrupted(q, s.ID, elapsed)
 	done := make(chan struct{})
@@ -42,13 +42,13 @@
 	})
 }
 
-// look returns why a server is not there any more; nil if it is, or if that is not known.
+// checkServer returns why a server is no longer running; nil if it is, or if that is unknown.
 func (g *Gateway) checkServer(q *request, s *dispatch.Server) error {
 	if g.fleet.replaced(s.ID) {
 		return errRestarted
 	}
 	if g.evacuated.has(s.Zone) {
-		return nil // it gets nothing more, not even a question
+		return nil // an evacuated zone gets no calls at all
 	}
 	err := g.probe(q, s)
 	if backend.WasSent(err) {
@@ -58,8 +58,8 @@
 	return err
 }
 
-// askState asks a server for its state, or for its health if it is no engine. A connection
-// alone shows little: what stands before a server may take it in its place.
+// probe requests the state of an engine, or the health of another server. An open connection alone
+// proves little: a proxy in front of the server may have accepted it.
 func (g *Gateway) probe(q *request, s *dispatch.Server) error {
 	ctx, cancel := context.WithTimeout(g.ctx, checkTimeout)
 	defer cancel()
@@ -78,7 +78,7 @@
 	case res.kind == notSent && !backend.TellsNothing(res.err):
 		return res.err
 	case res.kind == broken && backend.WasSent(res.err) && ctx.Err() == nil && !errors.Is(res.err, os.ErrDeadlineExceeded):
-		return res.err // what is slow, or begins to answer, is there
+		return res.err // a server that is slow or starts to answer is running
 	case res.kind != answered || s.Role == "" || p.ParseReport == nil:
 		return nil
 	}
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -13,8 +13,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// content returns the name of what a request asks. It is made once, and only where a
-// request has failed or others are known to.
+// content returns the digest of the content of a request. It is computed once, and only if the
+// request has failed or failures of other requests are known.
 func (q *request) content() poison.Digest {
 	if q.digest == (poison.Digest{}) {
 		c := poison.Content{Method: q.send.Method, Host: q.send.Host, Target: q.send.Target, Body: q.send.Body}
@@ -26,12 +26,12 @@
 	return q.digest
 }
 
-// lookWait is how long a request that may go to a further server waits for the look at the
-// one before: a server that is there, and a port that is closed, answer in some
-// milliseconds, and one that says nothing is not waited for.
+// checkWait is how long a request that may go to another server waits for the check of the previous
+// one. A running server and a closed port both answer within milliseconds; a server that doesn't
+// answer is not waited for.
 const checkWait = 20 * time.Millisecond
 
-// mayGo tells whether a request may go to a server, as far as its content is concerned.
+// contentAllowed reports whether the content of a request allows sending it to a server.
 func (g *Gateway) contentAllowed(q *request) bool {
 	if q.checked != nil {
 		select {
@@ -43,15 +43,17 @@
 	return g.contents.blocked(q) == 0
 }
 
-// contents is the lock around the contents under which servers have ended.
+// contents tracks the contents of requests under which servers have crashed. It guards a
+// poison.Table with a lock.
 type contents struct {
 	clock *clock.Clock
 	log   *slog.Logger
 	mu    sync.Mutex
 	table *poison.Table
-	// broke are the contents that broke off of late at each start of a server, and when.
+	// interrupted holds the requests that were interrupted recently, by server incarnation.
 	interrupted map[string][]interruption
-	// toldTo is the link over which a replica was told, and told the change up to which.
+	// sentTo is the link over which records were last sent to a replica, and sentUpTo the last
+	// change sent over it.
 	sentTo   *wire.Link
 	sentUpTo uint64
 }
@@ -60,19 +62,19 @@
 	return &contents{clock: c, log: log, table: poison.NewTable(), interrupted: map[string][]interruption{}}
 }
 
-// brokeOff is a request that broke off at a server, some time after it was sent.
+// interruption is a request that was interrupted at a server, some time after it was sent.
 type interruption struct {
 	content poison.Digest
 	at      time.Time
 	elapsed time.Duration
 }
 
-// brokeFor is how long after a request broke off a later start of its server shows that the
-// server ended under it: servers that crash are back after some seconds.
+// crashWindow is how long after an interrupted request a new incarnation of its server shows that
+// the server crashed under it: servers that crash are back within seconds.
 const crashWindow = 10 * time.Second
 
-// note notes that a request breaks off at a start of a server now, some time after it was
-// sent there.
+// noteInterrupted records that a request was interrupted now at an incarnation of a server, some
+// time after it was sent there.
 func (c *contents) noteInterrupted(q *request, server string, elapsed time.Duration) interruption {
 	intr := interruption{content: q.content(), at: c.clock.Now(), elapsed: elapsed}
 	c.mu.Lock()
@@ -81,8 +83,8 @@
 	return intr
 }
 
-// restarted takes that a start of a server has been replaced, which ended what broke off
-// there.
+// noteRestart records that a server incarnation has been replaced, which interrupted the requests
+// running there.
 func (c *contents) noteRestart(server string) {
 	c.mu.Lock()
 	list := c.interrupted[server]
@@ -95,7 +97,7 @@
 	}
 }
 
-// ended notes that a server has ended under a request that broke off there.
+// noteCrash records that a server crashed under a request that was interrupted there.
 func (c *contents) noteCrash(intr interruption, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +106,7 @@
 	}
 }
 
-// take takes what a replica tells.
+// merge adds the records received from a replica.
 func (c *contents) merge(list []poison.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// ran notes a request that has run to its end.
+// noteCompleted records that a request has run to completion.
 func (c *contents) noteCompleted(q *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// blocked returns for how long a request is refused for its content.
+// blocked returns for how long a request is still refused because of its content.
 func (c *contents) blocked(q *request) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,8 +134,8 @@
 	return c.table.BlockedFor(c.clock.Now(), q.content())
 }
 
-// untold returns what a replica has not been told over a link: all, over a new one, since
-// the replica may have started anew.
+// unsent returns the records that have not yet been sent over a link: all of them if the link is
+// new, since the replica may have restarted.
 func (c *contents) unsent(l *wire.Link) []poison.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,11 +164,11 @@
 	return c.table.BlockedCount(c.clock.Now())
 }
 
-// errBlocked ends a request that may not go to a further server.
-var errBlocked = errors.New("gateway: the request ends the servers that run it")
+// errBlocked ends a request that may not go to another server.
+var errBlocked = errors.New("gateway: the request crashes the servers that run it")
 
-// refuseContent refuses a request for its content. That it has not run is true of this try
-// of its caller; the caller is told when it is tried again.
+// refuseContent refuses a request because of its content. This attempt has not run, so the caller
+// may send it again once the block has expired.
 func (q *request) refuseContent(remaining time.Duration) refusal {
 	return refusal{route: q.route.Name, status: http.StatusServiceUnavailable, reason: "the request ends the servers that run it", retryAfter: remaining}
 }
--- a/gateway/decode.go
+++ b/gateway/decode.go
@@ -12,10 +12,9 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// elsewhere continues after a decode engine has not taken the request: another
-// one takes the KV cache while it lives. Engines that can't be reached cost
-// nothing but the try, so as many are tried as there is time for: a good part of
-// them may have gone at once.
+// decodeElsewhere continues after a decode engine has not accepted the request: another one takes
+// over the KV cache while it is kept. An unreachable engine costs nothing but the attempt, so as
+// many are tried as there is time for: many of them may have failed at once.
 func (n *generation) decodeElsewhere(ctx context.Context, r result) result {
 	for n.g.clock.Since(n.kvReadyAt) < n.q.service.Engine.KVHold-kvMargin {
 		n.q.tried[n.pair.Decode.ID] = true
@@ -38,7 +37,7 @@
 	return r
 }
 
-// decode has the answer made and passes it on.
+// decode has an engine generate the answer and relays it to the caller.
 func (n *generation) decode(ctx context.Context, s *dispatch.Server, withKV bool) result {
 	g, q, h := n.g, n.q, &n.g.cfg.Protocol.Headers
 	started := g.clock.Now()
@@ -70,7 +69,7 @@
 		g.noteSend(ctx, q, s, res, g.clock.Since(started))
 		return res
 	}
-	n.kv.Handle, n.hold = "", "" // taken
+	n.kv.Handle, n.hold = "", "" // the engine has accepted both
 	n.handover.AcceptedBy = s.ID
 	g.fleet.noteHandover(n.handover)
 	q.sends++
@@ -92,12 +91,12 @@
 	return res
 }
 
-// isStream tells whether an engine's answer is that of a run, and the engine's own.
+// isStream reports whether an answer is the stream of a run, signed by the engine itself.
 func (g *Gateway) isStream(a *backend.Answer) bool {
 	return a.Status < http.StatusMultipleChoices && a.Header.Get(g.cfg.Protocol.Headers.Signature) != ""
 }
 
-// done notes the end of a whole stream.
+// finish records the end of a complete stream.
 func (n *generation) finish(s *dispatch.Server, status int) {
 	name, stream := n.q.route.Name, n.stream
 	n.g.fleet.noteRun(n.q.service.Name, n.g.clock.Since(n.q.arrived), max(stream.firstAt.Sub(n.reservedAt), 0), n.g.clock.Since(stream.firstAt), stream.events*n.q.service.Engine.EventTokens)
@@ -114,7 +113,7 @@
 		"prefill_ms", prefill.Milliseconds(), "rounds", n.prefills, "migrations", n.migrations.count)
 }
 
-// failedAnswer takes an answer of an engine that is no stream.
+// nonStreamAnswer handles an answer of an engine that is not a stream.
 func (n *generation) nonStreamAnswer(ctx context.Context, s *dispatch.Server, a *backend.Answer) result {
 	n.g.fleet.noteOutcome(s.ID, dispatch.Failure, 0)
 	body, err := readAnswer(ctx, n.q.memory, a)
@@ -124,7 +123,7 @@
 	return result{kind: answered, status: a.Status, header: a.Header, body: body}
 }
 
-// resumeAt asks for the events after the last one that the caller has.
+// setLastEventID requests the events after the last one that the caller has received.
 func (n *generation) setLastEventID(head http.Header) {
 	if last := n.stream.order.Last(); last != "" {
 		head.Set(n.g.cfg.Protocol.Headers.LastEventID, last)
--- a/gateway/evacuated.go
+++ b/gateway/evacuated.go
@@ -10,15 +10,16 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// evacuated is the availability zones that get no new work, as the replicas told last.
+// evacuatedZones holds the availability zones that get no new work, as last reported by a replica.
 type evacuatedZones struct {
 	mu     sync.RWMutex
 	number uint64
 	zones  map[string]fleetstate.EvacuatedZone
 }
 
-// take takes what a replica tells, unless a later report is known. It returns the zones that
-// are evacuated now and were not, and those that may get work again.
+// update applies a report of a replica, unless a later one is known. It returns the zones whose
+// evacuation has started and those whose evacuation has finished, and whether the report was
+// applied.
 func (e *evacuatedZones) update(m *wire.Evacuated) (started, finished []string, changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,7 +42,7 @@
 	return started, finished, true
 }
 
-// has tells whether a zone gets no new work.
+// has reports whether a zone gets no new work.
 func (e *evacuatedZones) has(zone string) bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -60,7 +61,7 @@
 	return out
 }
 
-// takeEvacuated follows what a replica tells of evacuations.
+// updateEvacuated applies a replica's report of evacuations.
 func (g *Gateway) updateEvacuated(m *wire.Evacuated) {
 	started, finished, changed := g.evacuated.update(m)
 	if !changed {
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -11,24 +11,25 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// fleet is the lock around the decisions about servers, and the queue of the
-// requests that wait for room at an engine.
+// fleet guards the decisions about servers with a lock, and holds the queue of the requests that
+// wait for capacity at an engine.
 type fleet struct {
 	clock *clock.Clock
 	mu    sync.Mutex
 	view  *dispatch.Fleet
-	// bounds are the retry bounds that hold for each service by itself.
+	// bounds are the retry bounds, which apply to each service separately.
 	bounds  dispatch.Budget
 	budgets map[string]*dispatch.Budget
-	// runTimes are how long runs took of late, by service.
+	// runTimes are the recent durations of runs, by service.
 	runTimes map[string]dispatch.RunTimes
-	// queue are the requests that wait for room, placed where each gets its engines.
+	// queue holds the requests that wait for capacity; placed has the channel on which each gets
+	// its engines.
 	queue   dispatch.Queue
 	placed  map[*dispatch.QueuedRequest]chan dispatch.Pair
 	pending pendingLoads
 	limited limitedServers
 	paused  pausedServers
-	// told is closed by the next report of servers; nil if nobody waits for it.
+	// updated is closed by the next report of servers; nil if no request waits for it.
 	updated chan struct{}
 }
 
@@ -41,7 +42,7 @@
 	return &fleet{clock: c, view: view, bounds: bounds, budgets: map[string]*dispatch.Budget{}, runTimes: map[string]dispatch.RunTimes{}, paused: pausedServers{logged: map[string]bool{}}, placed: map[*dispatch.QueuedRequest]chan dispatch.Pair{}}
 }
 
-// budget returns the retry budget of a service. Callers hold the lock.
+// budget returns the retry budget of a service. The caller holds f.mu.
 func (f *fleet) budget(service string) *dispatch.Budget {
 	b := f.budgets[service]
 	if b == nil {
@@ -52,16 +53,16 @@
 	return b
 }
 
-// comeBack returns how long a caller that finds no room stays away.
+// retryAfter returns how long a caller whose request found no capacity should wait before a retry.
 func (f *fleet) retryAfter(service string, read time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return dispatch.RetryAfter(f.runTimes[service].Total, read, rand.Float64())
 }
 
-// update takes reports of servers, which of them have reported themselves with
-// nothing new, and how many there are. It returns the starts of servers that have ended,
-// since a later one has come.
+// update applies a report of servers: their states, those that have reported again without a
+// change, and the number of servers. It returns the server incarnations that have ended because a
+// later one replaced them.
 func (f *fleet) update(m *wire.Servers, alive []string) []*dispatch.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +81,7 @@
 	return replaced
 }
 
-// news is closed by the next report of servers.
+// updates returns a channel that is closed by the next report of servers.
 func (f *fleet) updates() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,14 +91,14 @@
 	return f.updated
 }
 
-// ended tells whether a start of a server has been replaced by a later one.
+// replaced reports whether a server incarnation has been replaced by a later one.
 func (f *fleet) replaced(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Replaced(id)
 }
 
-// away takes which engines are changing their role.
+// beginRoleChanges records which engines are changing their role.
 func (f *fleet) beginRoleChanges(list []wire.Away) {
 	if len(list) == 0 {
 		return
@@ -109,7 +110,7 @@
 	}
 }
 
-// evacuate takes which availability zones get no new work.
+// setEvacuated sets the availability zones that get no new work.
 func (f *fleet) setEvacuated(zones []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,7 +118,7 @@
 	f.serveQueue()
 }
 
-// sweep forgets old servers, and returns those whose pauses are over.
+// sweep removes old servers, and returns those whose pauses have ended.
 func (f *fleet) sweep(now time.Time) []dispatch.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +128,7 @@
 	return f.expiredPauses(now)
 }
 
-// share takes what is known of the other gateways.
+// setOthers sets what is known about the other gateways.
 func (f *fleet) setOthers(others dispatch.OtherGateways) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +136,7 @@
 	f.serveQueue()
 }
 
-// touch makes the reservations go out again, to another replica.
+// resendAll has everything that this gateway shares sent again, to another replica.
 func (f *fleet) resendAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,8 +156,8 @@
 	return out
 }
 
-// usable returns the servers of a service that may get new work, and are near enough to be
-// asked for something before a request goes out.
+// eligibleNearby returns the servers of a service that may get new work and are near enough to be
+// queried before a request is sent.
 func (f *fleet) eligibleNearby(service string) []dispatch.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,7 +171,7 @@
 	return out
 }
 
-// plain chooses a server of a plain service and counts the request there.
+// choosePlain chooses a server of a plain service and counts the request there.
 func (f *fleet) choosePlain(w dispatch.Work, avoid dispatch.Avoid) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,14 +182,14 @@
 	return f.startRequest(f.clock.Now(), s), true
 }
 
-// listed tells whether a server may get new work now.
+// available reports whether a server may get new work now.
 func (f *fleet) available(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Available(f.clock.Now(), id)
 }
 
-// done ends a request that plain has counted.
+// endRequest ends a request that choosePlain has counted.
 func (f *fleet) endRequest(id string, o dispatch.Outcome, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,19 +198,19 @@
 	}
 	f.noteOutcomeLocked(id, o, took)
 	if len(f.limited.waiting) > 0 && f.paused.present.Load() {
-		f.servePlainQueue() // a server that is back takes more with each request that it has served
+		f.servePlainQueue() // a server back from a pause accepts more with each request it has served
 	}
 }
 
-// note tells how a request to an engine went.
+// noteOutcome records the outcome of a request to an engine.
 func (f *fleet) noteOutcome(id string, o dispatch.Outcome, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.noteOutcomeLocked(id, o, took)
 }
 
-// noteLocked tells how a request went; one that failed is told to the other gateways
-// at once. Callers hold the lock.
+// noteOutcomeLocked records the outcome of a request; a failure is published to the other gateways
+// at once. The caller holds f.mu.
 func (f *fleet) noteOutcomeLocked(id string, o dispatch.Outcome, took time.Duration) {
 	f.view.NoteOutcome(f.clock.Now(), id, o, took)
 	f.pending.ended = true
@@ -218,7 +219,7 @@
 	}
 }
 
-// noteHandover tells how decode engines took a KV cache.
+// noteHandover records how decode engines responded to a KV cache.
 func (f *fleet) noteHandover(h dispatch.Handover) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,7 +232,7 @@
 	f.view.MarkGone(id)
 }
 
-// request counts a request to a service.
+// countRequest counts a request to a service.
 func (f *fleet) countRequest(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,35 +241,37 @@
 	f.view.CountRequest(now, service)
 }
 
-// retry takes further sends from the budget of a service.
+// reserveRetries takes further sends from the retry budget of a service, and reports whether the
+// budget allows them.
 func (f *fleet) reserveRetries(service string, sends int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.budget(service).Take(f.clock.Now(), f.view.Others.Gateways, sends)
 }
 
-// spend counts a send that was turned away and had not to be paid before.
+// countRetry charges the retry budget for a send that was rejected, which couldn't be charged in
+// advance.
 func (f *fleet) countRetry(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.budget(service).Spend(f.clock.Now(), 1)
 }
 
-// ruled tells what rules engines out for a request now.
+// exclusion returns which rules exclude engines for a request now.
 func (f *fleet) exclusion(w dispatch.Work, e *route.Engine) dispatch.Exclusion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Exclusion(f.clock.Now(), w, e)
 }
 
-// noteRead tells how long an engine took to read a prompt.
+// notePrefill records how long an engine took to read a prompt.
 func (f *fleet) notePrefill(id string, took time.Duration, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.NotePrefill(f.clock.Now(), id, took, tokens)
 }
 
-// endRead takes back the booking at the engine that reads a prompt.
+// releasePrefill releases the reservation at the engine that reads a prompt.
 func (f *fleet) releasePrefill(id string, w dispatch.Work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,7 +280,7 @@
 	f.serveQueue()
 }
 
-// release takes back the booking at the decode engine.
+// releaseDecode releases the reservation at the decode engine.
 func (f *fleet) releaseDecode(id string, w dispatch.Work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -286,8 +289,9 @@
 	f.serveQueue()
 }
 
-// grow books what a run at a decode engine has made. It returns the work as it
-// is booked now, and why the run should go on elsewhere, if it should.
+// growReservation updates the reservation of a run at a decode engine with the tokens generated so
+// far. It returns the work as reserved now, and the reason why the run should move to another
+// engine, if it should.
 func (f *fleet) growReservation(id string, w dispatch.Work, e *route.Engine, generated int) (dispatch.Work, dispatch.MigrationReason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -297,15 +301,15 @@
 	return w, f.view.MigrationReason(f.clock.Now(), id, e, rand.Float64())
 }
 
-// migrationTarget books an engine that a run can move to.
+// migrationTarget reserves memory at an engine to which a run can move.
 func (f *fleet) migrationTarget(from string, w dispatch.Work, e *route.Engine) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reserve(f.view.MigrationTarget(f.clock.Now(), from, w, e, rand.Float64()), w)
 }
 
-// reserve books a run at an engine that was chosen, if one was. Callers hold the
-// lock.
+// reserve makes a reservation for a run at the chosen engine, if there is one. The caller holds
+// f.mu.
 func (f *fleet) reserve(s *dispatch.Server, w dispatch.Work) (dispatch.Server, bool) {
 	if s == nil {
 		return dispatch.Server{}, false
@@ -316,7 +320,7 @@
 	return *s, true
 }
 
-// lease takes which cold servers this gateway may send requests to.
+// renewLeases sets the cold servers to which this gateway may send requests.
 func (f *fleet) renewLeases(list []wire.ColdLease) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -326,7 +330,7 @@
 	f.serveQueue()
 }
 
-// setCold takes what the services of a table say of their cold servers.
+// setColdSettings sets how the services of a table treat their cold servers.
 func (f *fleet) setColdSettings(services []route.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -337,21 +341,21 @@
 	f.view.SetColdSettings(out)
 }
 
-// noteConnect takes how long a connection to a server took to open.
+// noteConnect records how long a connection to a server took to open.
 func (f *fleet) noteConnect(id string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.NoteConnect(id, took)
 }
 
-// trip returns the time of a round trip to a zone.
+// roundTrip returns the duration of a round trip to a zone.
 func (f *fleet) roundTrip(zone string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.RoundTrip(zone)
 }
 
-// bearsLittle tells whether a server bears fewer requests than usual now.
+// hasReducedCapacity reports whether a server accepts fewer requests than usual now.
 func (f *fleet) hasReducedCapacity(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -359,8 +363,8 @@
 	return s != nil && (f.view.IsCold(now, s) || f.view.IsLimited(now, s))
 }
 
-// noteRun takes how long a request took, how long it took from room to its first event,
-// and how long the tokens of its answer.
+// noteRun records the total duration of a request, the time from its placement to its first event,
+// and the time that the tokens of its answer took.
 func (f *fleet) noteRun(service string, total, first, answer time.Duration, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -369,23 +373,22 @@
 	f.runTimes[service] = r
 }
 
-// pace returns the time that a token of an answer took of late; zero if that is
-// not known.
+// timePerToken returns the recent time per generated token; zero if unknown.
 func (f *fleet) timePerToken(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runTimes[service].Token
 }
 
-// patience returns how long a request waits for room at most, to be served within a
-// time.
+// queueTimeout returns the max time that a request waits for capacity, if it is to be served within
+// a given time.
 func (f *fleet) queueTimeout(w dispatch.Work, within time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.QueueTimeout(f.clock.Now(), w, within, f.queue.Len(), f.runTimes[w.Service])
 }
 
-// sharing returns the number of gateways that work with a server.
+// gatewaysPerServer returns the number of gateways that share a server.
 func (f *fleet) gatewaysPerServer(s *dispatch.Server) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -17,7 +17,7 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// result is how one send to one server ended.
+// result is the outcome of one send to one server.
 type result struct {
 	kind   resultKind
 	status int
@@ -29,24 +29,24 @@
 type resultKind int
 
 const (
-	// answered is a whole answer of the server, whatever its status.
+	// answered: the server sent a complete answer, whatever its status.
 	answered resultKind = iota
-	// notSent: no byte left; another server may be asked.
+	// notSent: no byte was sent; the request may go to another server.
 	notSent
-	// notRun: the server says that it did not and will not run the request.
+	// notRun: the server reports that it has not run the request and will not run it.
 	notRun
 	// misdirected: another server has the address.
 	misdirected
-	// broken: the request may have run and has no whole answer.
+	// broken: the request may have run, but has no complete answer.
 	broken
-	// late: as broken, since the time for this send was over.
+	// late: like broken, because the time for this send was over.
 	late
 )
 
 // maxUnsent bounds the servers that are tried without a byte being sent.
 const maxUnsent = 4
 
-// forward serves a request of a plain service.
+// forward serves a request to a plain service.
 func (g *Gateway) forward(ctx context.Context, w http.ResponseWriter, q *request) {
 	var last result
 	unsent := 0
@@ -90,8 +90,8 @@
 	g.conclude(w, q, last)
 }
 
-// again decides whether a request goes to another server, which takes a number
-// of sends.
+// mayResend reports whether a request may go to another server, which takes the given number of
+// sends.
 func (g *Gateway) mayResend(q *request, last result, sends int) bool {
 	const minRemaining = 20 * time.Millisecond
 	if q.remaining() < minRemaining {
@@ -107,7 +107,7 @@
 	return g.fleet.reserveRetries(q.service.Name, sends)
 }
 
-// send sends a request to one server and reads the whole answer.
+// send sends a request to one server and reads the complete answer.
 func (g *Gateway) send(ctx context.Context, q *request, s *dispatch.Server) result {
 	h := &g.cfg.Protocol.Headers
 	limit := q.remaining()
@@ -132,14 +132,14 @@
 		return g.classifyError(tryCtx, q, &backend.Error{Sent: true, Cause: err})
 	}
 	if a.Status < http.StatusMultipleChoices && a.Header.Get(h.Signature) == "" {
-		return result{kind: broken, err: errors.New("a success without a signature")}
+		return result{kind: broken, err: errors.New("gateway: success answer without a signature")}
 	}
 	g.contents.noteCompleted(q)
 	return result{kind: answered, status: a.Status, header: a.Header, body: body}
 }
 
-// tryLimit is how long one server may take for a request that may go to
-// another one: beyond the target it is late anyway.
+// attemptTimeout bounds the time of one server if the request may go to another one: after the
+// target the answer is late anyway.
 func attemptTimeout(r *route.Route) time.Duration {
 	if r.Target <= 0 {
 		return r.Timeout
@@ -147,7 +147,7 @@
 	return 2 * r.Target
 }
 
-// turnedAway reads an answer that says that the request did not run.
+// rejected checks whether an answer means that the request did not run.
 func (g *Gateway) rejected(q *request, s *dispatch.Server, a *backend.Answer) (result, bool) {
 	h := &g.cfg.Protocol.Headers
 	if a.Status == http.StatusMisdirectedRequest {
@@ -163,7 +163,7 @@
 	return result{kind: notRun, status: a.Status, header: a.Header}, true
 }
 
-// failed sorts a send that has no whole answer.
+// classifyError returns the result of a send without a complete answer.
 func (g *Gateway) classifyError(ctx context.Context, q *request, err error) result {
 	var be *backend.Error
 	if errors.As(err, &be) && !be.Sent {
@@ -171,7 +171,7 @@
 	}
 	q.sends++
 	g.noteMayHaveRun(q)
-	// The connection's deadline may be seen before the context's.
+	// The deadline of the connection may expire before that of the context.
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return result{kind: late, err: err}
 	}
@@ -201,15 +201,15 @@
 	return dispatch.Failure
 }
 
-// busyRetry is when a caller should come back to a plain service that is full:
-// its queue is some requests of some tens of milliseconds.
+// busyRetry is the Retry-After for a plain service whose servers are full: their queues hold a few
+// requests of some tens of milliseconds each.
 const busyRetry = 150 * time.Millisecond
 
-// reportRetry is when a caller should come back to a service of which no server
-// is known: servers report themselves about once a second.
+// reportRetry is the Retry-After for a service without a known server: servers report about once a
+// second.
 const reportRetry = 900 * time.Millisecond
 
-// noServer answers a request of a service that has no server, as in the second
+// refuseNoServer refuses a request to a service without a known server, as in the first second
 // after a restart.
 func (g *Gateway) refuseNoServer(w http.ResponseWriter, q *request) {
 	if reason, wait := g.fleet.waitReason(q); reason != waitForServer {
@@ -222,7 +222,7 @@
 	})
 }
 
-// conclude gives the caller its final answer.
+// conclude sends the caller its final answer.
 func (g *Gateway) conclude(w http.ResponseWriter, q *request, last result) {
 	switch {
 	case last.kind == answered && last.status != 0:
@@ -240,14 +240,14 @@
 	}
 }
 
-// pass gives the caller a server's whole answer, unchanged.
+// passAnswer sends the caller a server's complete answer, unchanged.
 func (g *Gateway) passAnswer(w http.ResponseWriter, q *request, r result) {
 	copyHeader(w, r.header)
 	switch {
 	case bodyAllowed(q.send.Method, r.status):
 		w.Header().Set("Content-Length", strconv.FormatInt(r.body.size, 10))
 	case q.send.Method == http.MethodHead && r.header.Get("Content-Length") != "":
-		w.Header().Set("Content-Length", r.header.Get("Content-Length")) // of what a GET would get
+		w.Header().Set("Content-Length", r.header.Get("Content-Length")) // the length of the answer to a GET
 	}
 	w.WriteHeader(r.status)
 	size := r.body.size
@@ -261,11 +261,11 @@
 	event.RequestDone.Log(g.log, "id", q.id, "route", q.route.Name, "status", r.status, "ms", g.clock.Since(q.arrived).Milliseconds())
 }
 
-// answerPart is how much of an answer its caller must take in callerTimeout, so that nothing is
-// held for one that has stopped reading, and one that reads slowly gets all of it.
+// maxWriteSize is how much of an answer its caller must read within callerTimeout. An answer to a
+// caller that has stopped reading is dropped, while a slow reader still gets all of its answer.
 const maxWriteSize = 16 << 10
 
-// writeWhole writes an answer and gives its memory back part by part.
+// writeAnswer writes an answer and releases its memory chunk by chunk.
 func writeAnswer(w http.ResponseWriter, memory *membudget.Account, body *bufferedAnswer) error {
 	control := http.NewResponseController(w)
 	_ = control.SetWriteDeadline(clock.Deadline(callerTimeout)) // for an answer without a body
@@ -281,7 +281,7 @@
 func writeChunk(w http.ResponseWriter, control *http.ResponseController, memory *membudget.Account, chunk []byte) error {
 	for len(chunk) > 0 {
 		_ = control.SetWriteDeadline(clock.Deadline(callerTimeout))
-		if err := memory.Preempted(); err != nil { // its deadline may have been the one before
+		if err := memory.Preempted(); err != nil { // the line before may have overwritten the deadline of abortWrite
 			return err
 		}
 		n := min(len(chunk), maxWriteSize)
@@ -297,8 +297,8 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// noteSend writes how one send ended, if it did not end well, and looks after the server
-// if it broke off there.
+// noteSend logs and counts a send that failed, and checks the server if the request was interrupted
+// there.
 func (g *Gateway) noteSend(ctx context.Context, q *request, s *dispatch.Server, r result, took time.Duration) {
 	if r.kind == answered && r.status < http.StatusInternalServerError {
 		return
@@ -311,12 +311,12 @@
 	case r.kind == broken:
 		g.checkAfterFailure(q, s, took)
 	case r.kind == late:
-		// A server that is full is late often, and to ask it takes one more of its slots.
+		// A full server is often late, and a check would occupy one more of its slots.
 		g.contents.noteInterrupted(q, s.ID, took)
 	}
 }
 
-// String names a kind for the log.
+// String returns the name of a kind, as used in logs and metrics.
 func (k resultKind) String() string {
 	return [...]string{"answered", "not_sent", "not_run", "misdirected", "broken", "late"}[k]
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,10 +1,9 @@
-// Package gateway is the entry for opaque requests: it takes any method, path
-// and body, finds the route by host and path, and calls backend servers
-// directly.
+// Package gateway is the entry for opaque requests: it accepts any method, path and body, finds the
+// route by host and path, and calls backend servers directly.
 //
-// The routing table and the list of servers come from control over links. A
-// gateway without control goes on with what it has. All that decides about
-// servers is in package dispatch; this package does the I/O around it.
+// The routing table and the list of servers come from control over links. A gateway that can't
+// reach control continues with the state it has. All decisions about servers are made by package
+// dispatch; this package does the I/O.
 package gateway
 
 import (
@@ -27,28 +26,28 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// Config is what a gateway needs to know of itself.
+// Config holds the settings of a gateway.
 type Config struct {
 	Name, Zone string
-	// Zones are the availability zones of the deployment with the region of each.
+	// Zones maps each availability zone of the deployment to its region.
 	Zones map[string]string
-	// Seeds are link addresses of some control replicas.
+	// Seeds are the link addresses of some control replicas.
 	Seeds []string
 	Token string
-	// Protocol is what callers and servers speak.
+	// Protocol is the protocol of callers and servers.
 	Protocol backend.Protocol
-	// Retry bounds the sends beyond the first of each request.
+	// Retry bounds the retries.
 	Retry dispatch.Budget
-	// Quota tells how the use of limits is judged.
+	// Quota bounds how the limits of organisations are enforced.
 	Quota quota.Bounds
-	// Memory bounds what is held for callers.
+	// Memory bounds the memory used for callers' requests and answers.
 	Memory membudget.Limits
-	// Clock is that of the VM if it is nil.
+	// Clock is the clock of the VM if nil.
 	Clock *clock.Clock
 	Log   *slog.Logger
 }
 
-// Gateway is the process.
+// Gateway routes the requests of callers to backend servers.
 type Gateway struct {
 	cfg    Config
 	clock  *clock.Clock
@@ -57,18 +56,18 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// private are the header fields that no caller may set.
+	// privateHeaders are the header fields that callers may not set.
 	privateHeaders []string
-	// forServers are the fields of callers that servers read.
+	// serverHeaders are the header fields of callers that servers read.
 	serverHeaders map[string]bool
 	table         atomic.Pointer[route.Table]
-	// tabled is closed when the first table is in force, since tabledAt.
+	// tableReady is closed at tableReadyAt, when the first table is in force.
 	tableReady   chan struct{}
 	tableReadyAt atomic.Pointer[time.Time]
 	draining     atomic.Bool
 	active       atomic.Int64
-	// streams counts the streams under way. stopsAt is when a draining gateway
-	// ends; endsAt is the same once it takes only what surely ends before.
+	// streams counts the streams under way. stopsAt is when a draining gateway stops; finishBy is
+	// the same time, set once the gateway accepts only requests that are sure to end before it.
 	streams           atomic.Int64
 	stopsAt, finishBy atomic.Pointer[time.Time]
 	pool              *backend.Pool
@@ -78,22 +77,23 @@
 	contents          *contents
 	evacuated         evacuatedZones
 	memory            *membudget.Budget
-	// memoryFull bounds the log lines about requests for which there is no memory.
+	// memoryFull limits the log lines about requests refused for lack of memory.
 	memoryFull event.Limiter
-	// unreadReports bounds the log lines about what servers say of themselves and can't be read.
+	// unreadReports limits the log lines about unreadable reports of servers.
 	unreadReports event.Limiter
-	// lookWait is how long a request waits for a look at the server before it: the
-	// constant of that name, but in tests.
+	// checkWait is how long a request waits for the check of its previous server: the constant of
+	// that name, except in tests.
 	checkWait time.Duration
-	// kept is what engines keep of prompts, by service.
+	// cached holds the prompts that engines keep cached, by service.
 	cachedMu sync.Mutex
 	cached   map[string]*cachedPrompts
-	// keptWait is how long an engine may take to tell: keptTimeout, but in tests.
+	// cacheListTimeout bounds how long an engine may take to list them: the constant of that name,
+	// except in tests.
 	cacheListTimeout time.Duration
 }
 
-// Start returns a running gateway; it is ready once control has told it the
-// routing table.
+// Start returns a running gateway, which is ready once it has received the routing table from
+// control.
 func Start(cfg Config) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := cfg.Log.With("role", "gateway", "name", cfg.Name)
@@ -115,11 +115,11 @@
 	return g
 }
 
-// SetSeeds takes a new list of seeds.
+// SetSeeds replaces the list of seeds.
 func (g *Gateway) SetSeeds(seeds []string) { g.links.setSeeds(seeds) }
 
-// takeTable puts an indexed routing table in force, unless it is older than the
-// one that is: a gateway never goes back. Several links may bring the same one.
+// setTable puts an indexed routing table in force, unless the current one is as new: several links
+// may deliver the same table, and a gateway never goes back to an older one.
 func (g *Gateway) setTable(t *route.Table) {
 	for {
 		old := g.table.Load()
@@ -140,16 +140,16 @@
 	}
 }
 
-// restarted ends what was under way at a start of a server that a later one has replaced.
+// noteRestart ends the requests at a server incarnation that a later one has replaced.
 func (g *Gateway) noteRestart(s *dispatch.Server) {
 	event.ServerRestarted.Log(g.log, "server", s.StableName(), "address", s.Address)
 	g.contents.noteRestart(s.ID)
 	g.pool.End(s.ID, s.Address)
 }
 
-// firstTable is how long a request waits for the first table, and to be told for the
-// first time what organisations have used: a gateway that has just started gets that
-// within some tenths of a second.
+// firstTableTimeout is how long a request waits for the first table, and for the first update on
+// what organisations have used. A gateway that has just started gets both within a few tenths of a
+// second.
 const firstTableTimeout = 500 * time.Millisecond
 
 // awaitTable returns the table in force; nil if there is none in time.
@@ -174,12 +174,12 @@
 	return t
 }
 
-// firstServers is how long after the first table a request waits for a server of its
-// service to be known: the table comes with the link to control, the servers with a later
-// report of the replica that this gateway follows.
+// firstServerTimeout is how long after the first table a request waits until a server of its
+// service is known: the table comes as soon as the link to control is open, the servers with a
+// later report of the replica chosen as hub.
 const firstServerTimeout = 500 * time.Millisecond
 
-// firstServer chooses a server of a plain service for a request that was not sent yet.
+// firstServer chooses a server of a plain service for a request that has not been sent yet.
 func (g *Gateway) firstServer(ctx context.Context, q *request) (dispatch.Server, bool) {
 	var expired <-chan time.Time
 	for {
@@ -202,7 +202,7 @@
 			expired = t.C
 		}
 		updated := g.fleet.updates()
-		if s, ok := g.fleet.choosePlain(q.work, q.tried); ok { // told just before
+		if s, ok := g.fleet.choosePlain(q.work, q.tried); ok { // an update may have come in just before
 			return s, true
 		}
 		select {
@@ -217,7 +217,7 @@
 
 const sweepInterval = 250 * time.Millisecond
 
-// sweep drops old connections and forgets old servers.
+// sweep closes old connections and removes old servers.
 func (g *Gateway) sweep() {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -236,7 +236,7 @@
 	}
 }
 
-// Ready tells whether the gateway takes requests, and if not, why.
+// Ready reports whether the gateway accepts requests, and if not, why.
 func (g *Gateway) Ready() (bool, string) {
 	if g.draining.Load() {
 		return false, "draining"
@@ -247,7 +247,7 @@
 	return true, ""
 }
 
-// ReadyHandler answers 200 while the gateway is ready, else 503.
+// ReadyHandler responds with 200 while the gateway is ready, and with 503 otherwise.
 func (g *Gateway) ReadyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if ok, reason := g.Ready(); !ok {
@@ -258,17 +258,16 @@
 	})
 }
 
-// Drain calls the gateway not ready. It goes on serving until the listener is
-// shut down, but takes no stream that would probably still run at the end.
+// Drain makes the gateway report that it is not ready, and stop at end. It continues to serve until
+// the listener is shut down, but refuses streams that would probably still run at end.
 func (g *Gateway) Drain(end time.Time) {
 	g.stopsAt.Store(&end)
 	g.draining.Store(true)
 	event.Draining.Log(g.log, "requests", g.active.Load())
 }
 
-// Finish makes a draining gateway take no streams any more, and other requests
-// only if there is time for them until it ends: what may take longer would be
-// cut.
+// Finish makes a draining gateway refuse all streams, and other requests unless there is enough
+// time for them before end, so that none is cut.
 func (g *Gateway) Finish(end time.Time) { g.finishBy.Store(&end) }
 
 // Streams returns the number of streams under way.
@@ -277,7 +276,7 @@
 // Active returns the number of requests under way.
 func (g *Gateway) Active() int64 { return g.active.Load() }
 
-// Close ends the gateway at once.
+// Close stops the gateway at once.
 func (g *Gateway) Close() {
 	g.cancel()
 	g.links.close()
@@ -286,7 +285,7 @@
 	event.Stopped.Log(g.log)
 }
 
-// pick returns a random number in [0, 1).
+// random returns a random number in [0, 1).
 func random() float64 { return rand.Float64() }
 
 // Dump is the state of a gateway.
@@ -297,13 +296,14 @@
 	Draining bool     `json:"draining"`
 	Active   int64    `json:"active"`
 	Control  []string `json:"control"`
-	// Blocked is how many contents are refused since servers ended under them.
+	// Blocked is the number of contents that are refused because servers crashed under them.
 	Blocked int `json:"blocked_contents"`
-	// HeldBytes are held for callers.
+	// HeldBytes is the memory used for callers' requests and answers, in bytes.
 	HeldBytes int64 `json:"held_bytes"`
 	// Evacuated are the availability zones that get no new work.
 	Evacuated []fleetstate.EvacuatedZone `json:"evacuated,omitempty"`
-	// PausedMs are the servers that want no requests of this gateway, with the time that is left.
+	// PausedMs are the servers that have asked for no requests, with the remaining time in
+	// milliseconds.
 	PausedMs map[string]int64   `json:"paused_ms,omitempty"`
 	Servers  []*dispatch.Server `json:"servers"`
 }
@@ -319,8 +319,8 @@
 	return d
 }
 
-// Collect implements the operator's process interface; the counters of a
-// gateway are kept as they arise.
+// Collect updates the gauge of held bytes when the metrics are read. It implements the process
+// interface of the operator endpoint; the other metrics of a gateway are updated as they change.
 func (g *Gateway) Collect() {
 	metric.HeldBytes.WithLabelValues(g.cfg.Name).Set(float64(g.memory.Held()))
 }
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -15,44 +15,45 @@
 
 // Times and bounds of generation.
 const (
-	// readShare is the part of the target by which the prompt should have been
-	// read. An answer that is a little late is worth as much as one that comes
-	// after a refusal, and more if the queue is shorter than it looks.
+	// prefillDeadlineRatio times the target is the time by which the prompt should have been read.
+	// An answer that is a little late has the same value as one that comes after a refusal, and
+	// more if the queue is shorter than estimated.
 	prefillDeadlineRatio = 1.5
 	// maxRounds bounds how often a request is placed.
 	maxRounds = 3
-	// kvMargin is taken off the time that an engine keeps a prefill result.
+	// kvMargin is subtracted from the time that an engine keeps a prefill result.
 	kvMargin = 100 * time.Millisecond
 )
 
-// errLeft tells that a decode engine began to leave while the prompt was read.
+// errEngineLeaving: a decode engine started to leave while the prompt was read.
 var errEngineLeaving = errors.New("gateway: the engine is leaving")
 
-// generation is a request to a model engine on its way.
+// generation is a request to a model engine in progress. The generation of its answer at a decode
+// engine is called a run.
 type generation struct {
 	g    *Gateway
 	q    *request
 	pair dispatch.Pair
-	// booked is the decode engine whose memory is reserved, reader the engine at
-	// which the prompt is booked to be read; empty if none.
+	// decodeReserved is the decode engine whose memory is reserved, prefillReserved the engine that
+	// is reserved for reading the prompt; empty if none.
 	decodeReserved, prefillReserved string
-	// placedAt is when they were booked.
+	// reservedAt is when both were reserved.
 	reservedAt time.Time
-	// hold is the room that the engine booked has set aside; empty if none.
+	// hold is the ID of the capacity that the decode engine itself has reserved; empty if none.
 	hold      string
 	kv        backend.KV
 	kvSource  dispatch.Server
 	kvReadyAt time.Time
-	// handover is how decode engines took the newest KV cache.
+	// handover records how decode engines responded to the newest KV cache.
 	handover dispatch.Handover
 	stream   *streamWriter
-	// prefills and decodes count what has reached engines of each role.
+	// prefills and decodes count the sends that reached an engine of each role.
 	prefills, decodes int
 	migrations        migrationState
 }
 
-// generate serves a request of a model engine: a decode engine's memory is
-// reserved first, then the prompt is read, then the answer is made.
+// generate serves a request to a model engine: it reserves memory at a decode engine, has the
+// prompt read, and then has the answer generated.
 func (g *Gateway) generate(ctx context.Context, w http.ResponseWriter, q *request) {
 	g.streams.Add(1)
 	defer g.streams.Add(-1)
@@ -86,14 +87,13 @@
 	n.conclude(ctx, w, last)
 }
 
-// mayGoOn tells whether a request that a round has not finished may have
-// another one.
+// mayRetry reports whether a request that is not done after a round may have another round.
 func (n *generation) mayRetry(last result) bool {
 	if n.stream.started && !n.stream.canResume() {
 		return false
 	}
-	// The prompt is read once more, and a decode engine is asked once more, if
-	// either has been asked before.
+	// A retry reads the prompt once more and calls a decode engine once more, if either was reached
+	// before.
 	sends := min(n.prefills, 1) + min(n.decodes, 1)
 	if last.kind == notSent {
 		return sends == 0 || n.g.fleet.reserveRetries(n.q.service.Name, sends)
@@ -101,7 +101,7 @@
 	return n.g.mayResend(n.q, last, max(sends, 1))
 }
 
-// place books a prefill and a decode engine.
+// place reserves a prefill and a decode engine.
 func (n *generation) place(ctx context.Context) bool {
 	q := n.q
 	limit := n.g.fleet.queueTimeout(q.work, q.route.Target-n.g.clock.Since(q.arrived))
@@ -138,7 +138,7 @@
 	}
 }
 
-// round reads the prompt and makes the answer at the engines that are booked.
+// round has the reserved engines read the prompt and generate the answer.
 func (n *generation) round(ctx context.Context) result {
 	n.handover = dispatch.Handover{}
 	if !n.g.contentAllowed(n.q) {
@@ -156,7 +156,7 @@
 			n.g.fleet.countRetry(n.q.service.Name)
 		}
 		if r.kind == broken || r.kind == late {
-			r.kind = notRun // a prompt that was read is no run
+			r.kind = notRun // reading a prompt is not a run
 		}
 		return r
 	}
@@ -178,8 +178,8 @@
 	return r
 }
 
-// wasteCause tells why a prompt that was read has no whole answer; begun tells
-// that a decode engine had taken it.
+// wasteCause returns why a prompt that was read has no complete answer; accepted means that a
+// decode engine had accepted it.
 func wasteCause(ctx context.Context, r result, accepted bool) string {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -203,8 +203,8 @@
 		"prefill", n.kvSource.StableName(), "decode", n.pair.Decode.StableName())
 }
 
-// grow books what a run has made, and has it move on if its engine has no room
-// for it any more.
+// growReservation adds the generated tokens to the reservation of the run, and migrates the run if
+// its engine has no capacity for it any more.
 func (n *generation) growReservation(ctx context.Context, generated int) {
 	if n.decodeReserved == "" {
 		return
@@ -227,7 +227,7 @@
 	}
 }
 
-// conclude gives the caller its final answer, if the stream has not.
+// conclude sends the caller its final answer, unless the answer was streamed.
 func (n *generation) conclude(ctx context.Context, w http.ResponseWriter, last result) {
 	g, q := n.g, n.q
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// hopByHop are fields that belong to one connection.
+// hopByHop are the header fields that belong to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// canonical returns a set of field names as they stand in an http.Header.
+// canonicalNames returns a set of field names in the canonical form used by http.Header.
 func canonicalNames(names []string) map[string]bool {
 	out := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -21,10 +21,10 @@
 	return out
 }
 
-// forwarded returns the fields of a caller that go to a server: not those of
-// the connection, nor the private ones that are no caller's to set. What servers read of
-// callers is meant for them, though the caller's Connection field may name it: without
-// its last event a caller would get all events again.
+// forwardedHeader returns the header fields of a caller that are forwarded to a server: neither
+// those of the connection nor the private ones, which callers may not set. Fields that servers read
+// from callers are forwarded even if the caller's Connection field lists them: without its last
+// event ID, a caller would get all events again.
 func (g *Gateway) forwardedHeader(in http.Header) http.Header {
 	out := make(http.Header, len(in)+4)
 	drop := connectionFields(in)
@@ -39,7 +39,7 @@
 	return out
 }
 
-// perConnection returns the fields that a Connection field names.
+// connectionFields returns the fields that a Connection field lists.
 func connectionFields(in http.Header) map[string]bool {
 	var out map[string]bool
 	for _, field := range in["Connection"] {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// copyHead puts the fields of a server's answer before the caller.
+// copyHeader copies the header fields of a server's answer to the caller's.
 func copyHeader(w http.ResponseWriter, in http.Header) {
 	out := w.Header()
 	drop := connectionFields(in)
@@ -63,6 +63,6 @@
 		}
 	}
 	if _, ok := in["Content-Type"]; !ok {
-		out["Content-Type"] = nil // none is guessed
+		out["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -12,19 +12,19 @@
 
 // Times of holds.
 const (
-	// holdTimeout is how long an engine may take to set room aside, beside the way there and
-	// back and the opening of a connection: holdTrips round trips. What is given up may be
-	// set aside all the same, for nobody.
+	// holdTimeout bounds how long an engine may take to reserve capacity, on top of holdRoundTrips
+	// round trips: one to open a connection and one for the call. An engine may still make the
+	// reservation after the timeout, and then nobody uses it.
 	holdTimeout    = 120 * time.Millisecond
 	holdRoundTrips = 2
 	// holdMargin is added to the expected time until the prompt has been read.
 	holdMargin = 600 * time.Millisecond
 )
 
-// takeHold has the decode engine that is booked set room aside, before any
-// prompt is read for it: what gateways tell each other is some tens of
-// milliseconds old, and only the engine knows whether it still has a slot. It
-// returns false if it has none or can't be reached.
+// acquireHold has the reserved decode engine itself reserve capacity before any prompt is read for
+// it: what gateways know about each other is some tens of milliseconds old, and only the engine can
+// tell whether it still has a free slot. It returns false if the engine has none or can't be
+// reached.
 func (n *generation) acquireHold(ctx context.Context) bool {
 	p, engine := &n.g.cfg.Protocol, n.q.service.Engine
 	if p.TakeHold == nil || engine.HoldMost <= 0 || n.pair.Prefill == nil {
@@ -32,12 +32,12 @@
 	}
 	s := n.pair.Decode
 	if n.g.fleet.hasReducedCapacity(s.ID) {
-		return true // it bears few calls, and has room
+		return true // the engine accepts few calls now, and has capacity
 	}
 	if ctx.Err() != nil {
 		return false
 	}
-	// The answer is heard also if the caller leaves, so that the room is given back.
+	// The answer is read even if the caller disconnects, so that the hold can be released.
 	hctx, cancel := n.g.detachedContext(ctx, holdTimeout+holdRoundTrips*n.g.fleet.roundTrip(s.Zone))
 	defer cancel()
 	started := n.g.clock.Now()
@@ -57,12 +57,12 @@
 	return false
 }
 
-// sendTo returns the caller's request as it goes to an engine.
+// sendTo returns the caller's request as it is sent to an engine.
 func (n *generation) sendTo(s *dispatch.Server) backend.Request {
 	return n.q.toServer(&n.g.cfg.Protocol.Headers, s, n.q.remaining(), n.g.fleet.gatewaysPerServer(s))
 }
 
-// dropHold gives room back that has not been used.
+// releaseHold releases a hold that has not been used.
 func (n *generation) releaseHold() {
 	if n.hold == "" {
 		return
@@ -72,7 +72,7 @@
 	n.freeInBackground(s, n.g.cfg.Protocol.DropHold(hold))
 }
 
-// dropKV frees a KV cache that no decode engine has taken.
+// freeKV frees a KV cache that no decode engine has taken over.
 func (n *generation) freeKV() {
 	if n.kv.Handle == "" || n.g.clock.Since(n.kvReadyAt) > n.q.service.Engine.KVHold {
 		return
--- a/gateway/hub.go
+++ b/gateway/hub.go
@@ -8,23 +8,23 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// shares is what a replica tells of the other gateways.
+// otherGateways is what a replica reports about the other gateways.
 type otherGateways struct {
-	// from is the replica's address.
+	// from is the address of the replica.
 	from string
-	// gateways is the number of those that it has heard.
+	// gateways is the number of gateways that it has received reports from.
 	gateways int
-	// queued is how many of their requests wait for room.
+	// queued is the number of their requests that wait for capacity.
 	queued int
-	// loads are what they have reserved, by engine, and seen how their requests went
-	// of late, by server.
+	// loads are their reservations by engine, and seen the recent outcomes of their requests by
+	// server.
 	loads map[string]dispatch.Load
 	seen  map[string]dispatch.Evidence
 }
 
-// takeLoads takes what a replica tells of other gateways; of their reservations
-// those that have changed. What was told last stays until the replica that this
-// gateway shares with now has told all. Callers hold the lock.
+// updateLoads applies a replica's report on other gateways, which has only the changed reservations
+// unless it is complete. The earlier state stays until the current hub has sent a complete report.
+// The caller holds l.mu.
 func (l *links) updateLoads(address string, m *wire.Loads) {
 	if address != l.hub || l.others.from != address && !m.Whole {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// share tells the fleet how many gateways there are and what the others have
-// reserved. Callers hold the lock.
+// updateOthers passes the number of gateways and the reservations of the others to the fleet. The
+// caller holds l.mu.
 func (l *links) updateOthers() {
 	gateways := l.countGateways(l.g.clock.Now())
 	l.g.fleet.setOthers(dispatch.OtherGateways{
@@ -61,13 +61,13 @@
 
 // Bounds of the number of gateways.
 const (
-	// leastGateways is assumed of a system whose gateways are not all known yet.
+	// minGateways is assumed while not all gateways are known.
 	minGateways  = 3
 	peakDuration = 20 * time.Second
 )
 
-// count returns the number of gateways, as the highest that any replica has
-// seen of late. Callers hold the lock.
+// countGateways returns the number of gateways: the max that any replica has seen recently. The
+// caller holds l.mu.
 func (l *links) countGateways(now time.Time) int {
 	seen := minGateways
 	for _, n := range l.gateways {
@@ -79,8 +79,7 @@
 	return l.peakGateways
 }
 
-// hubLink returns the link over which reservations are shared. Callers hold the
-// lock.
+// hubLink returns the link over which reservations are shared. The caller holds l.mu.
 func (l *links) hubLink(now time.Time) *wire.Link {
 	best := l.chooseHub(now)
 	if best == "" {
@@ -96,21 +95,21 @@
 	return l.peers[best].link
 }
 
-// follow begins to share with a replica, which tells all servers anew. What it has told
-// before does not count any more: it may have told nothing since of servers that are
-// gone. Callers hold the lock.
+// setHub makes a replica the hub. It then sends all servers again, and what it has sent before is
+// dropped: since then it may have sent no update about servers that are gone. The caller holds
+// l.mu.
 func (l *links) setHub(address string) {
 	l.hub = address
 	delete(l.rosters, address)
 	l.g.fleet.resendAll()
 }
 
-// chooseHub returns the replica that this gateway shares with: of those that have links
-// to most of the others one of its own availability zone, or else the leader, or else
-// any; one that is cut off only if there is no other. While the replicas are cut in two
-// all gateways come together at the greater part that way. Of several it is that with
-// the lowest address, so that gateways of a zone choose the same one. A replica of
-// another zone is not chosen before hubWait. Callers hold the lock.
+// chooseHub returns the hub, which is the replica with which this gateway shares its state. Among
+// the replicas with links to most of the others it prefers one in its own availability zone, then
+// the leader, then any; a partitioned replica is chosen only if there is no other. While the
+// replicas are partitioned, all gateways thus meet at the larger side. Among equals it chooses the
+// lowest address, so that the gateways of a zone choose the same replica. A replica in another zone
+// is not chosen before hubWait. The caller holds l.mu.
 func (l *links) chooseHub(now time.Time) string {
 	best, rank := "", -1
 	for a, p := range l.peers {
@@ -129,17 +128,17 @@
 }
 
 const (
-	// hubWait is how long a link to a replica of another zone must have been open before
-	// a gateway shares with it. After an outage the link to that of its own zone comes
-	// within some tens of milliseconds of the others, and each replica that a gateway
-	// begins to share with tells it all servers (25 KB at 3,000 servers).
+	// hubWait is how long a link to a replica in another zone must have been open before that
+	// replica can become the hub. After an outage the link to the replica in the gateway's own zone
+	// opens within some tens of milliseconds of the others, and each new hub sends all servers (25
+	// KB at 3,000 servers).
 	hubWait = 150 * time.Millisecond
-	// bestRank is that of a replica of the gateway's own zone.
+	// bestRank is the rank of a replica in the gateway's own zone.
 	bestRank = 4
 )
 
-// silentFor is the silence after which a replica is left for another one, before its link
-// is given up: it shows life every 0.4 s, and a packet that is lost is sent again after 0.2 s.
+// silenceTimeout is the silence after which another replica becomes the hub, before the link is
+// closed: a replica sends a heartbeat every 0.4 s, and a lost packet is retransmitted after 0.2 s.
 const silenceTimeout = 700 * time.Millisecond
 
 func (l *links) silent(address string) bool {
@@ -147,7 +146,7 @@
 	return p != nil && !p.lastReceived.IsZero() && l.g.clock.Since(p.lastReceived) > silenceTimeout
 }
 
-// hubRank tells how well a linked replica serves to share with; the highest is best.
+// hubRank returns how suitable a connected replica is as the hub; the highest is best.
 func (l *links) hubRank(address, zone string) int {
 	switch {
 	case l.silent(address):
--- a/gateway/key.go
+++ b/gateway/key.go
@@ -8,12 +8,12 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// authorization is the field in which callers name their key.
+// authorization is the header field with a caller's key.
 const authorization = "Authorization"
 
-// bearer returns the key that a caller names: one field, the scheme Bearer in any case,
-// blanks and one word. All else is no key, so that a server and a gateway can't read
-// two different ones.
+// bearerKey returns the key of a caller: a single field with the scheme Bearer in any case, blanks,
+// and one word. Anything else is not a key, so that a server and a gateway can't read two different
+// ones.
 func bearerKey(fields []string) (string, bool) {
 	if len(fields) != 1 {
 		return "", false
@@ -26,14 +26,13 @@
 	return key, true
 }
 
-// unsureRetry is when a caller should come back whose key may be newer than the table:
-// a gateway has the next replica within about that time.
+// staleTableRetry is the Retry-After for a caller whose key may be newer than the routing table: a
+// gateway is connected to its next replica within about that time.
 const staleTableRetry = 300 * time.Millisecond
 
-// identify finds the organisation of a request. A public route wants no key; the
-// organisation of one that is known is named to the server all the same. A key that is
-// not known is refused for good only by a gateway that is in touch with control: another
-// one may lack the table that brought it.
+// identify finds the organisation of a request. A public route requires no key, but a known
+// organisation is still passed to the server. Only a gateway that is connected to control refuses
+// an unknown key for good: another one may lack the table that introduced it.
 func (g *Gateway) identify(table *route.Table, q *request, h http.Header) *refusal {
 	if !table.Keyed {
 		return nil
@@ -51,9 +50,9 @@
 	return &refusal{route: q.route.Name, status: http.StatusUnauthorized, reason: "no known key"}
 }
 
-// name puts the organisation of a request in the place of all that its caller said of
-// it. Its key goes no further. Fields with an underscore for a hyphen are dropped too,
-// since some servers read them as the same.
+// setOrganisation replaces everything that a caller states about its organisation by the
+// organisation found. The caller's key is not forwarded. Fields with an underscore in place of a
+// hyphen are removed too, since some servers treat them as the same field.
 func (g *Gateway) setOrganisation(table *route.Table, q *request) {
 	if !table.Keyed {
 		return
--- a/gateway/limit_tokens.go
+++ b/gateway/limit_tokens.go
@@ -9,21 +9,20 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Times and bounds of asking for tokens.
+// Times and bounds of asks for tokens.
 const (
-	// askAgain is the time after which control is asked again for tokens where nothing has
-	// changed, and askChange the part by which the rate of requests must have changed.
+	// askInterval is the time after which an unchanged ask for tokens is repeated to control, and
+	// minAskChange the fraction by which the request rate must have changed for an ask before that.
 	askInterval  = 400 * time.Millisecond
 	minAskChange = 0.25
-	// leastAsk is the rate of requests below which none is asked for.
+	// minAskRate is the request rate, per second, below which no tokens are asked for.
 	minAskRate = 0.01
-	// aloneAfter is how long a gateway must have been out of touch before it sends its own part
-	// of each limit.
+	// standaloneAfter is how long a gateway must have been disconnected from control before it uses
+	// its own share of each limit.
 	standaloneAfter = time.Second
 )
 
-// takeLimits takes what a replica tells of limits; only the one that this gateway shares with tells
-// of tokens and supply.
+// updateLimits applies a replica's report on limits; tokens and supply come only from the hub.
 func (l *links) updateLimits(address string, m *wire.Limits) {
 	l.mu.Lock()
 	hub := address == l.hub
@@ -53,7 +52,7 @@
 	}
 }
 
-// send sends to a replica, if its link is open.
+// send sends a message to a replica if its link is open.
 func (l *links) send(address string, m *wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,8 +70,8 @@
 	}
 }
 
-// takeTokens places the requests that wait for tokens, and returns those that nobody here has use
-// for. Callers hold the lock.
+// grantTokens assigns tokens to the requests that wait for them, and returns the tokens for which
+// this gateway has no use. The caller holds f.mu.
 func (f *fleet) grantTokens(now time.Time, tokens []wire.LimitToken) []wire.LimitToken {
 	if len(tokens) == 0 {
 		return nil
@@ -95,8 +94,8 @@
 	return out
 }
 
-// tellLimits tells the replica that this gateway shares with what servers say of their limits, and
-// asks it for tokens; hub is nil if there is none.
+// sendLimits sends the hub what servers report about their limits, and asks it for tokens. hub is
+// nil if there is none.
 func (l *links) sendLimits(now time.Time, hub *wire.Link) {
 	f := l.g.fleet
 	supported := hub != nil && hub.Speaks() >= wire.KnowsLimits && l.connected()
@@ -104,7 +103,7 @@
 	if supported || f.limited.connectedAt.IsZero() {
 		f.limited.connectedAt = now
 	}
-	f.view.Standalone = now.Sub(f.limited.connectedAt) >= standaloneAfter // also for the next limit that is named
+	f.view.Standalone = now.Sub(f.limited.connectedAt) >= standaloneAfter // also for the next limit that is announced
 	if !f.limited.present.Load() {
 		f.mu.Unlock()
 		return
@@ -121,7 +120,8 @@
 	}
 }
 
-// untoldLimits returns what control has to hear of limits; nil if nothing. Callers hold the lock.
+// unsentLimits returns what has to be sent to control about limits; nil if nothing. The caller
+// holds f.mu.
 func (f *fleet) unsentLimits(now time.Time) *wire.Limits {
 	out := &wire.Limits{}
 	for _, w := range f.view.UnsentLimits(now) {
@@ -142,13 +142,13 @@
 	return out
 }
 
-// limitAsks returns what this gateway would send to the services that have limited servers.
-// Callers hold the lock.
+// limitAsks returns the asks for the services that have limited servers: the request rate and the
+// number of waiting requests. The caller holds f.mu.
 func (f *fleet) limitAsks(now time.Time) map[string]wire.LimitAsk {
 	out := map[string]wire.LimitAsk{}
 	for service, rate := range f.view.LimitedServiceRates(now) {
 		a := wire.LimitAsk{Service: service, Rate: rate, Got: f.limited.received[service]}
-		a.Waiting, a.Priority = f.queue.CountWaiting(service) // of an engine's service
+		a.Waiting, a.Priority = f.queue.CountWaiting(service) // nonzero for the services of engines
 		for _, w := range f.limited.waiting {
 			if w.work.Service != service {
 				continue
@@ -165,7 +165,7 @@
 	return out
 }
 
-// asksChanged tells whether what is wanted differs from what was told.
+// asksChanged reports whether asks differ enough from those that were sent last.
 func (s *limitedServers) asksChanged(asks map[string]wire.LimitAsk) bool {
 	if len(asks) != len(s.lastAsks) {
 		return true
--- a/gateway/limited.go
+++ b/gateway/limited.go
@@ -10,31 +10,33 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// limitedServers is what a gateway knows of limits beside the servers. The fleet's lock guards it.
+// limitedServers is the state that a gateway keeps about limits in addition to that of the
+// dispatch.Fleet. It is guarded by fleet.mu.
 type limitedServers struct {
-	// some tells that some server names a limit. It is read without the lock, by each answer.
+	// present is set while some server has a limit. It is read without the lock, for each answer.
 	present atomic.Bool
-	// waiting are the requests that wait for a token, or for a server to be back from a pause,
-	// the first to be served first.
+	// waiting are the requests that wait for a token, or for the end of a server's pause, in the
+	// order in which they are served.
 	waiting []*serverWaiter
-	// supply is what control tells of the limited servers of each service.
+	// supply is what control has reported about the limited servers of each service.
 	supply map[string]ratelimit.Supply
-	// got counts the tokens that came, by service, since this gateway shares with its replica.
+	// received counts the tokens received, by service, since this gateway began to share with its
+	// hub.
 	received map[string]int
-	// asked is what that replica was told last, at askedAt.
+	// lastAsks are the asks that were sent to the hub last, at askedAt.
 	lastAsks map[string]wire.LimitAsk
 	askedAt  time.Time
-	// touchAt is when this gateway was in touch last.
+	// connectedAt is when this gateway was last connected to control.
 	connectedAt time.Time
 }
 
-// retell has another replica told of everything.
+// resendAll has everything sent again, to another replica.
 func (s *limitedServers) resendAll(view *dispatch.Fleet) {
 	s.received, s.lastAsks, s.supply = nil, nil, nil
 	view.ResendLimits()
 }
 
-// By whom a gateway is told of a limit, for the log.
+// The source of a limit, for the log.
 const (
 	sourceServer  = "server"
 	sourceControl = "control"
@@ -44,7 +46,7 @@
 	event.ServerLimit.Log(g.log, "server", c.Server.StableName(), "service", c.Server.Service, "rate", c.Observation.Rate, "ended", !c.Observation.Limited, "by", source, "sent", c.Sent)
 }
 
-// server returns a server as it is known.
+// lookup returns a copy of a server.
 func (f *fleet) lookup(id string) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -14,12 +14,13 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// limits is the lock around what organisations use.
+// limits guards the usage of the organisations' limits with a lock.
 type limits struct {
 	clock   *clock.Clock
 	mu      sync.Mutex
 	limiter *quota.Limiter
-	// shares tells who uses more than their share, of what this gateway and the others use.
+	// shares determines which organisations exceed their fair share, from what this gateway and the
+	// others use.
 	shares *quota.FairShares
 }
 
@@ -27,8 +28,8 @@
 	return &limits{clock: c, limiter: quota.NewLimiter(b), shares: quota.NewFairShares()}
 }
 
-// setTable puts the limits of the table in force, which is read under the lock: two may
-// come one after the other.
+// setTable puts the limits of the table in force. The table is read under the lock, since two
+// updates may come in quick succession.
 func (l *limits) setTable(table *atomic.Pointer[route.Table]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,14 +38,14 @@
 	l.shares.SetLimits(limits)
 }
 
-// setPart takes the part of the limits that this gateway may use.
+// setShare sets the share of the limits that this gateway may use.
 func (l *limits) setShare(p quota.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limiter.SetShare(l.clock.Now(), p)
 }
 
-// take takes what a replica tells of the other gateways.
+// update applies a replica's report of what the other gateways have used.
 func (l *limits) update(u *quota.UsageUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// beyond tells whether the organisation of a request uses more than its share.
+// overFairShare reports whether the organisation of a request exceeds its fair share.
 func (l *limits) overFairShare(q *request) bool {
 	if q.organisation == nil {
 		return false
@@ -73,14 +74,15 @@
 	return over
 }
 
-// untold returns what the other gateways have to hear.
+// takeUnreported returns the usage that has not yet been reported to the other gateways, and marks
+// it as reported.
 func (l *limits) takeUnreported(now time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.TakeUnreported(now)
 }
 
-// charge counts a request if it lies within the limit of its organisation.
+// charge counts a request if it is within the limit of its organisation.
 func (l *limits) charge(q *request) quota.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,8 +93,8 @@
 	return v
 }
 
-// charge counts a request against the limit of its organisation, and refuses it if it
-// lies beyond that.
+// charge counts a request against the limit of its organisation, and refuses it if it exceeds the
+// limit.
 func (g *Gateway) charge(q *request, tokens int) *refusal {
 	if q.organisation == nil || q.organisation.Rate <= 0 {
 		return nil
@@ -113,10 +115,9 @@
 	return &refusal{route: q.route.Name, status: http.StatusTooManyRequests, reason: "over the limit of the organisation", retryAfter: jitter(overLimitRetry(q.route, v.RetryAfter))}
 }
 
-// overLimitRetry is when a caller beyond a limit should come back: when its request fits,
-// and at most after half of the route's target. Who comes back later is late if it is
-// served, and as likely to be refused again: 0.008 of worth (standard error 0.004, 15 pairs
-// of days with an organisation that asks for several times its limit).
+// overLimitRetry is the Retry-After for a caller over its limit: when its request fits, but at most
+// half of the route's target. A later retry gets a late answer if it is served, and is as likely to
+// be refused again.
 func overLimitRetry(r *route.Route, fits time.Duration) time.Duration {
 	if r.Target <= 0 {
 		return fits
@@ -124,15 +125,16 @@
 	return min(fits, r.Target/2)
 }
 
-// waitSpread is the part by which times to come back differ, so that callers who were
-// refused together do not return together.
+// retryJitter is the fraction by which Retry-After times differ, so that callers that were refused
+// together don't return together.
 const retryJitter = 0.2
 
 func jitter(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * (1 + retryJitter*rand.Float64()))
 }
 
-// ran notes that a server may have worked on the request. Each time counts.
+// noteMayHaveRun records that a server may have worked on the request. Each such server counts
+// against the limit.
 func (g *Gateway) noteMayHaveRun(q *request) {
 	if q.mayHaveRun && q.charged {
 		g.adjustUsage(q, q.cost)
@@ -140,7 +142,7 @@
 	q.mayHaveRun = true
 }
 
-// settle gives back what was counted for a request that has not run.
+// refund takes back the charge for a request that has not run.
 func (g *Gateway) refund(q *request) {
 	if q.charged && !q.mayHaveRun {
 		g.adjustUsage(q, -q.cost)
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -19,46 +19,44 @@
 	redialInterval    = 60 * time.Millisecond
 	linkIdleTimeout   = 1500 * time.Millisecond
 	heartbeatInterval = 400 * time.Millisecond
-	// loadsEvery is the least time between two tellings of this gateway's
-	// reservations.
+	// loadsInterval is the min time between two updates of this gateway's reservations.
 	loadsInterval = 40 * time.Millisecond
 )
 
-// links keeps a link to every control replica, so that a report that any of them
-// has taken reaches this gateway.
+// links keeps a link to every control replica, so that a report received by any of them reaches
+// this gateway.
 type links struct {
 	g      *Gateway
 	mu     sync.Mutex
 	dialer wire.Dialer
 	// peers are the replicas by link address.
 	peers map[string]*peer
-	// seeds and members are the addresses that are wanted.
+	// seeds and members are the addresses to connect to.
 	seeds, members []string
-	// gateways is the number of gateways that each replica sees, and peak the
-	// highest of late: a gateway that is cut off must not take the parts of
-	// those that it does not see any more.
+	// gateways is the number of gateways that each replica sees, and peakGateways the recent max: a
+	// partitioned gateway must not take over the shares of those that it no longer sees.
 	gateways     map[string]int
 	peakGateways int
 	peakAt       time.Time
-	// cut are the replicas that have no link to most of the others.
+	// partitioned are the replicas without a link to most of the others.
 	partitioned map[string]bool
-	// told are the servers that each replica has told of as ready.
+	// rosters are the servers that each replica has reported as ready.
 	rosters map[string]*registry.Roster
-	// hub is the replica that this gateway shares with, others what was told last
-	// of the other gateways.
+	// hub is the replica with which this gateway shares its state, others what was last received
+	// about the other gateways.
 	hub    string
 	others otherGateways
 	leader string
-	// parts are those of the limits that partsFrom, a replica, has told.
+	// limitShares are the shares of the limits received from the replica limitSharesFrom.
 	limitShares     quota.Share
 	limitSharesFrom string
-	// toldUse is closed when a replica has told of the use of limits for the first time.
+	// usageReceived is closed when a replica has first reported the usage of limits.
 	usageReceived chan struct{}
-	// waiting is a table that no replica has vouched for yet.
+	// pendingTable is a table that no replica has confirmed yet.
 	pendingTable *route.Table
-	// tickedAt is when this process did its part for the links last, wokeAt when it was
-	// found to have stood still, and current is closed once a replica has told the newest
-	// since then; nil if it did not stand still.
+	// lastTick is when loop last ran, resumedAt when a suspension of this process was detected.
+	// current is closed once a replica has sent the current state since then; nil if no suspension
+	// is being handled.
 	lastTick, resumedAt time.Time
 	current             chan struct{}
 }
@@ -66,8 +64,8 @@
 type peer struct {
 	stop context.CancelFunc
 	link *wire.Link
-	// began is when the link began to open, since when it was open, and heard when the replica
-	// last said something.
+	// dialedAt is when the link was dialed, openedAt when it opened, and lastReceived when the
+	// replica last sent a message.
 	dialedAt, openedAt, lastReceived time.Time
 }
 
@@ -78,7 +76,7 @@
 	return l
 }
 
-// meet takes the seeds that the settings name.
+// setSeeds sets the seeds from the settings.
 func (l *links) setSeeds(seeds []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +84,7 @@
 	l.syncPeers()
 }
 
-// sync keeps a peer for each wanted address. Callers hold the lock.
+// syncPeers keeps a peer for each address to connect to. The caller holds l.mu.
 func (l *links) syncPeers() {
 	for _, a := range append(slices.Clone(l.seeds), l.members...) {
 		if l.peers[a] != nil {
@@ -129,13 +127,14 @@
 	}
 }
 
-// set takes that the link to a replica, which began to open at a time, is open, or has ended.
+// setLink records that the link to a replica, dialed at dialedAt, has opened; or that it has
+// closed, if link is nil.
 func (l *links) setLink(address string, p *peer, link *wire.Link, dialedAt time.Time) {
 	l.mu.Lock()
 	p.link, p.openedAt = link, l.g.clock.Now()
 	p.dialedAt, p.lastReceived = dialedAt, p.openedAt
 	if link != nil && l.current != nil && dialedAt.Before(l.resumedAt) {
-		link.Close() // what came over it may be older than the stop
+		link.Close() // what it carried may predate the suspension
 	}
 	if link == nil {
 		delete(l.gateways, address)
@@ -198,7 +197,7 @@
 	}
 }
 
-// hasToldUse tells whether a replica has told of the use of limits.
+// usageKnown reports whether a replica has reported the usage of limits.
 func (l *links) usageKnown() bool {
 	select {
 	case <-l.usageReceived:
@@ -208,9 +207,9 @@
 	}
 }
 
-// use takes what the replica that this gateway shares with tells of the use of limits. Only
-// that counts as being told: a replica that has just started says other things before it
-// has a table and limits to tell of.
+// updateUsage applies a report on the usage of limits, if it is from the hub. No other message sets
+// usageReceived: a replica that has just started sends others before it has a table and limits to
+// report.
 func (l *links) updateUsage(address string, u *quota.UsageUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,8 +225,8 @@
 	l.g.limits.update(u)
 }
 
-// inTouch tells whether this gateway shares with a replica that it has just heard and
-// that has links to most of the others.
+// connected reports whether the hub of this gateway has been heard from recently and has links to
+// most of the other replicas.
 func (l *links) connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -235,8 +234,8 @@
 	return p != nil && p.link != nil && !l.partitioned[l.hub] && !l.silent(l.hub)
 }
 
-// alive returns the servers that a replica says have reported themselves of late: all
-// that it has told of as ready, but for the exceptions that it names.
+// aliveServers returns the servers that have recently reported themselves according to a replica:
+// all that it has reported as ready, except for those that it lists as silent.
 func (l *links) aliveServers(address string, m *wire.Servers) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,11 +251,11 @@
 	return roster.Except(m.Silent)
 }
 
-// routes takes a table. The first one must be vouched for as the newest; after
-// that any that is committed and higher is taken.
+// updateRoutes applies a table. The first one must be confirmed as the newest; after that any
+// committed table with a higher version is applied.
 func (l *links) updateRoutes(address string, m *wire.Routes) {
 	if m.Table != nil {
-		m.Table.Index() // before any other link can take it
+		m.Table.Index() // before another link's goroutine can use it
 	}
 	l.mu.Lock()
 	if m.Table != nil && (l.pendingTable == nil || l.pendingTable.Version < m.Table.Version) {
@@ -275,12 +274,12 @@
 	}
 }
 
-// tableWait is how long a table that a replica has told of may take to come by itself,
-// from a replica of the gateway's availability zone: some ways through the site.
+// tableFetchDelay is how long to wait for a table that a replica has announced to arrive by itself,
+// from a replica in the gateway's availability zone: a few one-way trips within the site.
 const tableFetchDelay = 60 * time.Millisecond
 
-// fetch asks the replica at an address for a table that it has told of, if the table
-// has not come from elsewhere meanwhile.
+// fetchTable requests an announced table from the replica at an address, unless it has arrived from
+// elsewhere meanwhile.
 func (l *links) fetchTable(address string, version uint64) {
 	wait.For(l.g.ctx, tableFetchDelay)
 	l.mu.Lock()
@@ -326,7 +325,7 @@
 	})
 }
 
-// beat shows life on all links. Callers hold the lock.
+// sendHeartbeats sends a heartbeat on all links. The caller holds l.mu.
 func (l *links) sendHeartbeats() {
 	for _, p := range l.peers {
 		if p.link != nil {
@@ -335,7 +334,7 @@
 	}
 }
 
-// open returns the addresses of the replicas that are linked.
+// openPeers returns the addresses of the replicas with an open link.
 func (l *links) openPeers() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/load_updates.go
+++ b/gateway/load_updates.go
@@ -7,28 +7,27 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Least times between two tellings, if no reservation has changed.
+// Min times between two updates if no reservation has changed.
 const (
-	// grownEvery is for what runs have made: some events of a run.
+	// progressInterval applies to the progress of runs: some events of a run.
 	progressInterval = 160 * time.Millisecond
-	// notedEvery is for requests that went well: a part of the time for which they
-	// count.
+	// outcomeInterval applies to successful requests: a fraction of the time for which they count.
 	outcomeInterval = 500 * time.Millisecond
 )
 
-// telling is what has happened since other gateways were told the last time.
+// pendingLoads is what has happened since the last update to the other gateways.
 type pendingLoads struct {
-	// changed tells that reservations have changed or requests have failed, grown that
-	// runs have, and noted that requests have ended.
+	// changed is set if reservations have changed or requests have failed, grown if runs have
+	// progressed, and ended if requests have ended.
 	changed, grown, ended bool
-	// at is when they were told, queued how many waiting requests, and failures tells
-	// that there were some, which have to be taken back.
+	// sentAt is when the last update was sent and queued the number of waiting requests in it;
+	// failures is set if it reported some, which have to be retracted.
 	sentAt   time.Time
 	queued   int
 	failures bool
 }
 
-// due tells whether others have to be told, with a number of requests that wait now.
+// due reports whether an update has to be sent, given the number of requests that wait now.
 func (t *pendingLoads) due(now time.Time, queued int) bool {
 	passed := now.Sub(t.sentAt)
 	switch {
@@ -40,8 +39,8 @@
 	return (t.ended || t.failures) && passed >= outcomeInterval
 }
 
-// loads returns what the other gateways have to hear: this gateway's reservations, how
-// many of its requests wait, and how its requests went of late; nil if they know it.
+// pendingUpdate returns the update for the other gateways: this gateway's reservations, the number
+// of its waiting requests, and the recent outcomes of its requests; nil if nothing has to be sent.
 func (f *fleet) pendingUpdate(now time.Time) *wire.Loads {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -42,7 +42,7 @@
 	return res
 }
 
-// endRead takes back the booking of the read.
+// releasePrefill releases the reservation for reading the prompt.
 func (n *generation) releasePrefill() {
 	if n.prefillReserved != "" {
 		n.g.fleet.releasePrefill(n.prefillReserved, n.q.work)
--- a/gateway/prompt_cache.go
+++ b/gateway/prompt_cache.go
@@ -11,27 +11,27 @@
 	"github.com/ledgepin/ledgepin/event"
 )
 
-// Times of asking engines for the prompts that they keep.
+// Times of listing the prompts cached by engines.
 const (
-	// keptTimeout is how long an engine may take to tell: about the time of a read,
-	// which is what the answer saves.
+	// cacheListTimeout bounds how long an engine may take to list its cached prompts: about the
+	// time of reading a prompt, which the list saves.
 	cacheListTimeout = 60 * time.Millisecond
-	// keptFor is how long what engines have told is used: requests that come again
-	// come together, after an outage, and a list holds up an engine's work.
+	// cacheListTTL is how long the lists are used: repeated requests come in bursts after an
+	// outage, and a list delays an engine's work.
 	cacheListTTL = time.Second
 )
 
-// keptPrompts is what the engines of one service keep.
+// cachedPrompts holds the prompts that the engines of one service keep cached.
 type cachedPrompts struct {
-	// mu is held while engines are asked, so that requests that come again together
-	// ask once.
+	// mu is held while engines are queried, so that requests repeated at the same time query them
+	// once.
 	mu       sync.Mutex
 	listedAt time.Time
-	// tokens are those of each part, by engine and the part's ID.
+	// tokens is the number of cached tokens of each prompt part, by engine and ID of the part.
 	tokens map[string]map[string]int
 }
 
-// keptOf returns what is known of the prompts that a service's engines keep.
+// cachedPromptsOf returns what is known about the prompts cached by a service's engines.
 func (g *Gateway) cachedPromptsOf(service string) *cachedPrompts {
 	g.cachedMu.Lock()
 	defer g.cachedMu.Unlock()
@@ -43,7 +43,7 @@
 	return k
 }
 
-// findKept returns how many tokens of a request's prompt engines keep, by engine.
+// findCached returns how many tokens of a request's prompt are cached, by engine.
 func (g *Gateway) findCached(q *request) map[string]int {
 	if g.cfg.Protocol.ListKept == nil || len(q.parts) == 0 {
 		return nil
@@ -64,8 +64,8 @@
 	return out
 }
 
-// askKept asks all engines of a request's service at once. Others use what they say, so
-// it goes on if the request's own caller leaves.
+// listCached queries all engines of a request's service at once. Other requests use the result too,
+// so it continues if the request's own caller disconnects.
 func (g *Gateway) listCached(q *request) map[string]map[string]int {
 	ctx, cancel := context.WithTimeout(g.ctx, g.cacheListTimeout)
 	defer cancel()
@@ -87,8 +87,8 @@
 	return out
 }
 
-// askKeptAt asks one engine for the tokens of each part that it keeps. With an error come
-// those parts that could be read.
+// listCachedAt queries one engine for the number of tokens that it has cached of each prompt part.
+// If it returns an error, it also returns the parts that could be read.
 func (g *Gateway) listCachedAt(ctx context.Context, q *request, s *dispatch.Server) (map[string]int, error) {
 	p := &g.cfg.Protocol
 	res, body := g.exchange(ctx, q, s, g.callTo(q, s, p.ListKept()))
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -8,8 +8,8 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// place finds a prefill and a decode engine and books both. It waits for room
-// until the context ends or the limit is over.
+// place finds a prefill and a decode engine and reserves both. It waits for capacity until the
+// context or the limit ends.
 func (f *fleet) place(ctx context.Context, w *dispatch.QueuedRequest, limit time.Duration) (dispatch.Pair, bool) {
 	placed := make(chan dispatch.Pair, 1)
 	f.mu.Lock()
@@ -25,9 +25,9 @@
 	})
 }
 
-// awaitPlace returns what is found for a request until the context ends or the limit is over.
-// Leave takes the request from its queue; what was found for it until then counts too, since it
-// is booked.
+// awaitAssignment returns what is assigned to a request until the context or the limit ends. leave
+// removes the request from its queue. An assignment made before that counts too, since it is
+// already reserved.
 func awaitAssignment[T any](ctx context.Context, assigned <-chan T, limit time.Duration, leave func()) (T, bool) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
@@ -47,7 +47,8 @@
 	}
 }
 
-// serve books engines for the requests that wait and find room. Callers hold the lock.
+// serveQueue assigns engines to waiting requests for which there is capacity. The caller holds
+// f.mu.
 func (f *fleet) serveQueue() {
 	f.servePlainQueue()
 	f.view.ServeQueue(f.clock.Now(), &f.queue, func(w *dispatch.QueuedRequest, p dispatch.Pair) {
@@ -63,7 +64,7 @@
 	})
 }
 
-// move books another decode engine for a prompt that has been read.
+// reserveDecode reserves another decode engine for a prompt that has been read.
 func (f *fleet) reserveDecode(w dispatch.Work, e *route.Engine, zone string, avoid dispatch.Avoid) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/region.go
+++ b/gateway/region.go
@@ -13,14 +13,13 @@
 	return g.fleet.choosePlain(q.work, q.tried)
 }
 
-// keepToRegions brings a request that goes to a further server in line with the newest table:
-// where it may be served is what the table of its arrival and the newest one both allow. It
-// returns false if that is nowhere.
+// narrowRegions restricts a request that goes to another server to the regions allowed both by the
+// table at its arrival and by the newest one. It returns false if there is no such region.
 func (g *Gateway) narrowRegions(q *request) bool {
 	newest := g.table.Load()
 	r := newest.Lookup(q.send.Host, q.path)
 	if r == nil {
-		return true // a route that was taken away ends with what is under way on it
+		return true // requests on a removed route run to their end
 	}
 	o := q.organisation
 	if o != nil {
@@ -31,7 +30,7 @@
 		return false
 	}
 	both, ok := route.CommonRegions(q.work.Regions, allowed)
-	if ok { // else they stay: none would stand for all
+	if ok { // otherwise the regions stay: an empty list would allow all
 		q.work.Regions = both
 	}
 	return ok
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -16,45 +16,43 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// request is one request of a caller on its way.
+// request is a request of a caller in progress.
 type request struct {
 	id      string
 	path    string
 	route   *route.Route
 	service *route.Service
-	// organisation is whose request it is; nil where no key is wanted.
+	// organisation is the organisation of the caller; nil where no key is required.
 	organisation *route.Organisation
-	// send is what goes to a server; the server's own fields are added for
-	// each send.
+	// send is what is sent to servers; the server's own fields are added for each send.
 	send     backend.Request
 	clock    *clock.Clock
 	arrived  time.Time
 	deadline time.Time
 	work     dispatch.Work
-	// parts are those of the prompt; resumed tells that the caller has a part of
-	// the answer already.
+	// parts are the parts of the prompt; resumed is set if the caller already has a part of the
+	// answer.
 	parts   []route.PromptPart
 	resumed bool
-	// chunks tells that the caller reads answers in chunks, which show their end.
+	// chunked is set if the caller reads chunked answers, whose end is explicit.
 	chunked bool
-	// mayHaveRun tells that a server may have worked on it.
+	// mayHaveRun is set if a server may have worked on the request.
 	mayHaveRun bool
-	// size is what it counts against the limit of its organisation, charged that it
-	// was counted.
+	// cost is what counts against the limit of the organisation; charged is set if it was counted.
 	cost    float64
 	charged bool
 	tried   dispatch.Avoid
 	sends   int
-	// memory is what is held for it.
+	// memory is the account of the memory held for the request.
 	memory *membudget.Account
-	// digest names its content, once that was asked for.
+	// digest identifies its content, once computed.
 	digest poison.Digest
-	// looked is closed once it is known whether the server of the newest send has ended;
-	// nil if that is no question.
+	// checked is closed once the check of the server of the newest send is done; nil if there is no
+	// check.
 	checked chan struct{}
 }
 
-// defaultDeadline is for callers that name none.
+// defaultDeadline applies to callers that send none.
 const defaultDeadline = 30 * time.Second
 
 // ServeHTTP serves one request of a caller.
@@ -99,7 +97,7 @@
 	g.forward(ctx, w, q)
 }
 
-// read finds the route of a request and takes its body.
+// read finds the route of a request and reads its body.
 func (g *Gateway) read(w http.ResponseWriter, table *route.Table, r *http.Request) (*request, *refusal) {
 	h := &g.cfg.Protocol.Headers
 	q := &request{id: r.Header.Get(h.RequestID), path: r.URL.Path, chunked: r.ProtoAtLeast(1, 1), clock: g.clock, arrived: g.clock.Now(), tried: dispatch.Avoid{}}
@@ -152,16 +150,15 @@
 	return q, nil
 }
 
-// Times of a gateway that is about to end.
+// Times of a gateway that is about to stop.
 const (
-	// leastTargets and leastTime are the time, in targets of the route and at
-	// least, that a request must have to be taken.
+	// A request is accepted only if minTargets times the target of its route and minTime remain.
 	minTargets = 4
 	minTime    = time.Second
 )
 
-// endBy bounds a request by the end of the gateway. It returns false if the
-// request may not be done by then.
+// capDeadline limits a request to the end of the gateway. It returns false if the request may not
+// be done by then.
 func (q *request) capDeadline(end time.Time) bool {
 	if q.route.Kind == route.Stream || q.clock.Until(end) < max(minTargets*q.route.Target, minTime) {
 		return false
@@ -172,17 +169,17 @@
 	return true
 }
 
-// outlasts tells whether a stream will probably run for longer than a time, at the
-// time that tokens of its service took of late.
+// outlasts reports whether a stream will probably run for longer than the remaining time, given the
+// recent time per token of its service.
 func (q *request) outlasts(remaining, perToken time.Duration) bool {
 	return q.route.Kind == route.Stream && time.Duration(q.work.Expected)*perToken+q.route.Target > remaining
 }
 
-// elsewhereRetry is when a caller should come back to a gateway that stops: at once,
-// since the others have room, and the platform sends new connections to them.
+// stoppingRetry is the Retry-After of a stopping gateway: short, since the others have capacity,
+// and the platform routes new connections to them.
 const stoppingRetry = 50 * time.Millisecond
 
-// elsewhere refuses a request that the end of the gateway would cut.
+// refuseStopping refuses a request that the end of the gateway would cut.
 func (q *request) refuseStopping(reason string) refusal {
 	return refusal{
 		route: q.route.Name, status: http.StatusServiceUnavailable, reason: reason,
@@ -190,8 +187,8 @@
 	}
 }
 
-// deadlineOf is the time that a request may take: what the caller waits, and at
-// most what the operator allows.
+// requestTimeout returns the time that a request may take: as long as the caller waits, but at most
+// what the operator allows.
 func requestTimeout(field string, timeout time.Duration) time.Duration {
 	out := min(defaultDeadline, timeout)
 	ms, ok := parseNonNegative(field)
@@ -199,23 +196,23 @@
 	case !ok:
 		return out
 	case ms >= float64(timeout)/float64(time.Millisecond):
-		return timeout // compared before the conversion, which turns what is too long into the past
+		return timeout // compared before the conversion, which would overflow into the past
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
 // Estimates of the length of answers.
 const (
-	// hintFactor is the mean length over the median, which the hint gives.
+	// hintFactor is the ratio of the mean length to the median, which the hint gives.
 	hintFactor = 1.12
-	// unknownAnswer is the expected length without a hint, in tokens.
+	// defaultAnswerTokens is the expected length without a hint.
 	defaultAnswerTokens = 1000
-	// mostTokens bounds the tokens that a caller names: more than any engine keeps, and so
-	// few that no sum of them overflows.
+	// maxTokens bounds the number of tokens that a caller states: more than any engine can hold,
+	// and small enough that no sum overflows.
 	maxTokens = 1 << 30
 )
 
-// workOf reads what a request will need at an engine.
+// parseWork reads what a request will need at an engine.
 func parseWork(h *backend.Headers, in http.Header, s *route.Service) dispatch.Work {
 	prompt, maxOutput := parseTokens(in.Get(h.Tokens))
 	w := dispatch.Work{Service: s.Name, Expected: defaultAnswerTokens, Prompt: prompt}
@@ -228,15 +225,15 @@
 	return w
 }
 
-// tokensOf reads the tokens of a prompt and the most tokens of its answer; what can't be
-// read is zero.
+// parseTokens reads the number of tokens of a prompt and the max number of tokens of its answer; an
+// unreadable number is zero.
 func parseTokens(field string) (prompt, maxOutput int) {
 	first, second, _ := strings.Cut(field, ",")
 	return parseTokenCount(first), parseTokenCount(second)
 }
 
-// count reads a number of tokens. One that is too large is the most that there can be, and
-// not none: it counts against the limit of an organisation.
+// parseTokenCount reads a number of tokens. A number that is too large becomes maxTokens rather
+// than zero, because it counts against the limit of an organisation.
 func parseTokenCount(field string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(field))
 	if err != nil && !errors.Is(err, strconv.ErrRange) || n < 0 {
@@ -245,16 +242,16 @@
 	return min(n, maxTokens)
 }
 
-// number reads a number from zero on, which may be infinite.
+// parseNonNegative reads a non-negative number, which may be infinite.
 func parseNonNegative(field string) (float64, bool) {
 	n, err := strconv.ParseFloat(field, 64)
 	return n, (err == nil || errors.Is(err, strconv.ErrRange)) && n >= 0
 }
 
-// left is the time that remains for a request.
+// remaining returns the time until the deadline of a request.
 func (q *request) remaining() time.Duration { return q.clock.Until(q.deadline) }
 
-// to returns the request as it goes to one server.
+// toServer returns the request as it is sent to one server.
 func (q *request) toServer(h *backend.Headers, s *dispatch.Server, limit time.Duration, sharing int) backend.Request {
 	out := q.send
 	out.Address = s.Address
@@ -266,13 +263,13 @@
 	return out
 }
 
-// connectionShare is the part of a server's connections that one gateway opens.
+// connectionShare returns how many of a server's connections one gateway may open.
 func connectionShare(limit, sharing int) int {
 	if limit <= 0 {
 		return 0
 	}
-	// Servers still count connections of gateways that have lost power, and take
-	// fewer while their queue is long.
+	// Servers still count connections of gateways that have lost power, and accept fewer while
+	// their queue is long.
 	const use = 0.5
 	return max(int(use*float64(limit)/float64(max(sharing, 1))), 1)
 }
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -13,20 +13,21 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// mostReportLines bounds the servers and fields of which lines are written in a while.
+// maxReportLines bounds the servers and fields that are logged in a minute.
 const maxReportLines = 64
 
-// pausedServers is what a gateway keeps of pauses beside the servers. The fleet's lock guards it.
+// pausedServers is the state that a gateway keeps about pauses in addition to that of the
+// dispatch.Fleet. It is guarded by fleet.mu.
 type pausedServers struct {
-	// some tells that some server wants a pause, or did until just before. It is read without
-	// the lock, by each request.
+	// present is set while some server has asked for a pause, or did until just before. It is read
+	// without the lock, for each request.
 	present atomic.Bool
-	// told are the servers whose pause was logged and is not over.
+	// logged are the servers whose pause was logged and has not ended.
 	logged map[string]bool
 }
 
-// answered takes what the head of an answer says of its server. The answer came to a request that
-// was sent some time ago.
+// noteAnswer evaluates what the header of an answer reports about its server. The request was sent
+// the given time ago.
 func (g *Gateway) noteAnswer(id string, ago time.Duration, status int, head http.Header) {
 	if id == "" {
 		return
@@ -43,7 +44,7 @@
 	}
 }
 
-// countReport counts what a server says of itself, and writes what can't be read.
+// countReport counts what a server reports about itself, and logs what is unreadable.
 func (g *Gateway) countReport(id string, r *selfreport.Report) {
 	if r.Empty() {
 		return
@@ -63,7 +64,7 @@
 	}
 }
 
-// clipped returns values that a server decides on, short enough for a log line.
+// truncated shortens values that a server controls for a log line.
 func truncated(values []string) []string {
 	const maxValues, maxBytes = 3, 40
 	out := make([]string, 0, maxValues)
@@ -73,7 +74,7 @@
 	return out
 }
 
-// logChange writes what a report of a server has changed.
+// logChange logs what a report of a server has changed.
 func (g *Gateway) logChange(c dispatch.Change, r *selfreport.Report) {
 	if c.Field == selfreport.Limit {
 		g.logLimit(c.Limit, sourceServer)
@@ -83,7 +84,7 @@
 		"pause_ms", c.Pause.Milliseconds(), "age_ms", r.Received.Sub(r.Sent).Milliseconds())
 }
 
-// observe takes what an answer of a server says of the server, and returns what has changed.
+// observe applies what an answer reports about its server, and returns the changes.
 func (f *fleet) observe(id string, r selfreport.Report) []dispatch.Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,14 +103,15 @@
 	return changes
 }
 
-// wake serves the requests that wait for a server to be back.
+// serveAfterPause serves the requests that wait for the end of a server's pause.
 func (f *fleet) serveAfterPause() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.serveQueue()
 }
 
-// endPauses returns the servers whose pauses are over since the last call. Callers hold the lock.
+// expiredPauses returns the servers whose pauses have ended since the last call. The caller holds
+// f.mu.
 func (f *fleet) expiredPauses(now time.Time) []dispatch.Server {
 	var out []dispatch.Server
 	for id := range f.paused.logged {
@@ -125,7 +127,7 @@
 	return out
 }
 
-// pauses returns how long this gateway still stays away from each server that wants that, in
+// pausesMs returns the remaining time for which this gateway avoids each paused server, in
 // milliseconds.
 func (f *fleet) pausesMs() map[string]int64 {
 	f.mu.Lock()
@@ -139,8 +141,8 @@
 	return out
 }
 
-// admit tells why a server takes no request or call now, or counts it. Those that were placed at
-// the server were counted against its limit then.
+// admit returns why a server accepts no request or call now, or else counts it. Requests with
+// Admitted set were counted against the server's limit when they were placed there.
 func (f *fleet) admit(r *backend.Request) error {
 	paused, limited := f.paused.present.Load(), f.limited.present.Load() && !r.Admitted
 	if r.Server == "" || !paused && !limited {
@@ -153,7 +155,7 @@
 	case !f.view.AdmitCall(now, r.Server, r.Frees):
 		return backend.ErrPaused
 	case !limited:
-	case r.Frees: // nothing may stay held for a request that has ended
+	case r.Frees: // nothing may stay reserved for a request that has ended
 		f.view.OweToken(now, r.Server)
 	case !f.view.TakeToken(now, r.Server):
 		return backend.ErrLimited
@@ -161,8 +163,8 @@
 	return nil
 }
 
-// awaitsPause returns how long it takes until the first server in a role is back from a pause;
-// false if some server wants none, or there is none at all.
+// minPauseRemaining returns how long it takes until the first server in a role ends its pause;
+// false if some server has none, or if there is no server.
 func (f *fleet) minPauseRemaining(w dispatch.Work, role string) (time.Duration, bool) {
 	if !f.paused.present.Load() {
 		return 0, false
@@ -172,7 +174,7 @@
 	return f.view.MinPauseRemaining(f.clock.Now(), w, role)
 }
 
-// tellLeaving tells a replica of control which servers have said that they leave.
+// sendLeaving notifies the hub of the servers that have reported that they are leaving.
 func (l *links) sendLeaving(hub *wire.Link) {
 	if hub.Speaks() < wire.KnowsLeaving {
 		return
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -16,10 +16,9 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// streamWriter passes the events of one caller's answer on, whichever engines make
-// them: whole events only, each once and in order. What an engine sends is not
-// believed: by its own count, or by a late answer, it may go on at another event than
-// the one due.
+// streamWriter relays the events of one caller's answer, whichever engines generate them: only
+// complete events, each once and in order. It verifies the order, because an engine may continue at
+// the wrong event, through a wrong count of its own or a late answer.
 type streamWriter struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -28,23 +27,24 @@
 	started bool
 	reader  eventstream.Reader
 	order   eventstream.Sequencer
-	// plain tells that the answer is no event stream, and is passed on as it comes.
+	// plain is set if the answer is not an event stream, and is relayed as received.
 	plain bool
-	// untyped tells that the engine does not say what it is, and blocks that it has had
-	// whole ones.
+	// untyped is set if the engine sent no Content-Type, and sawBlock if it has sent a complete
+	// block.
 	untyped, sawBlock bool
 	// out are the blocks that are written together.
 	out []byte
-	// from is the engine that serves now, noted that it has sent an event out of order.
+	// from is the engine that serves now; outOfOrderNoted is set if it has sent an event out of
+	// order.
 	from            *dispatch.Server
 	outOfOrderNoted bool
-	// firstAt is when the first part came, lastAt the newest, and gap the
-	// longest pause between two.
+	// firstAt is when the first part arrived, lastAt the newest, and gap is the longest pause
+	// between two.
 	firstAt, lastAt time.Time
 	gap             time.Duration
-	// made is told how many tokens the answer has so far.
+	// onTokens is called with the number of tokens of the answer so far.
 	onTokens func(tokens int)
-	// memory takes memory for the stream; counted is what it has beyond streamMemory.
+	// reserve reserves memory for the stream; reserved is the amount beyond streamMemory.
 	reserve  func(n int64) error
 	reserved int64
 	events   int
@@ -55,7 +55,8 @@
 	if g.cfg.Protocol.EventsByOne {
 		s.order = &eventstream.Sequence{}
 	}
-	// On another route a run begins anew, whatever its caller has of an earlier one.
+	// On a route that is not resumable a run starts from the beginning, whatever the caller has of
+	// an earlier one.
 	if q.route.Resumable {
 		s.order.Resume(q.send.Header.Get(g.cfg.Protocol.Headers.LastEventID))
 	}
@@ -68,23 +69,23 @@
 	callerTimeout = 5 * time.Second
 )
 
-// Errors of streams that are not whole.
+// Errors of incomplete streams.
 var (
 	errEventsMissing = errors.New("gateway: events of the stream are missing")
 	errPartialEvent  = errors.New("gateway: the stream ended within an event")
-	errRunStopped    = errors.New("gateway: the run may have been stopped, so that its stream is not whole")
+	errRunStopped    = errors.New("gateway: the run may have been stopped, so its stream is incomplete")
 )
 
-// canGoOn tells whether the stream can go on at another engine after what the caller
-// has.
+// canResume reports whether the stream can continue at another engine after the events that the
+// caller has.
 func (s *streamWriter) canResume() bool { return !s.plain && s.order.Resumable() }
 
-// canMove tells whether its run can: an engine that continues a copy is told the last event,
-// and without one may begin after all that the run had made.
+// canMigrate reports whether the run can migrate: an engine that continues a copy gets the last
+// event ID, and without one it might start after everything that the run had generated.
 func (s *streamWriter) canMigrate() bool { return s.canResume() && s.order.Last() != "" }
 
-// copy passes an engine's stream on until its end. It returns nil only if the
-// engine ended it as whole.
+// relay relays an engine's stream until its end. It returns nil only if the engine ended the stream
+// as complete.
 func (s *streamWriter) relay(a *backend.Answer, from *dispatch.Server) error {
 	s.startFrom(a, from)
 	buf := make([]byte, streamBuffer)
@@ -109,8 +110,8 @@
 	}
 }
 
-// count takes the memory of events that are longer than those of most streams. Until there is
-// some, nothing more is read of the engine.
+// accountMemory reserves memory for events that are longer than usual. Nothing more is read from
+// the engine until the memory is available.
 func (s *streamWriter) accountMemory() error {
 	more := int64(s.reader.MemoryBytes()+cap(s.out)) - streamMemory - s.reserved
 	if more <= 0 {
@@ -120,7 +121,7 @@
 	return s.reserve(more)
 }
 
-// begin makes the writer ready for the stream of another engine.
+// startFrom prepares the writer for the stream of another engine.
 func (s *streamWriter) startFrom(a *backend.Answer, from *dispatch.Server) {
 	s.from, s.outOfOrderNoted = from, false
 	s.reader.Reset()
@@ -135,14 +136,14 @@
 	s.w.WriteHeader(a.Status)
 }
 
-// isEventStream tells whether an answer is one that can be read.
+// isEventStream reports whether an answer is an event stream that can be parsed.
 func isEventStream(head http.Header) bool {
 	kind, _, _ := strings.Cut(head.Get("Content-Type"), ";")
 	encoding := head.Get("Content-Encoding")
 	return strings.EqualFold(strings.TrimSpace(kind), "text/event-stream") && (encoding == "" || strings.EqualFold(encoding, "identity"))
 }
 
-// pace notes when a part of the stream came.
+// noteTiming records when a part of the stream arrived.
 func (s *streamWriter) noteTiming(now time.Time) {
 	if s.firstAt.IsZero() {
 		s.firstAt = now
@@ -152,7 +153,7 @@
 	s.lastAt = now
 }
 
-// pass passes on what a part of the stream makes whole.
+// processPart relays the blocks that a part of the stream completes.
 func (s *streamWriter) processPart(part []byte) error {
 	if s.plain {
 		return s.write(part)
@@ -165,7 +166,7 @@
 	return err
 }
 
-// takeAll takes the blocks that end in a part of the stream.
+// processBlocks processes the blocks that end in a part of the stream.
 func (s *streamWriter) processBlocks(part []byte) error {
 	for len(part) > 0 {
 		block, rest, err := s.reader.Next(part)
@@ -184,7 +185,8 @@
 	return nil
 }
 
-// take has the bytes of a block written if it is the caller's due.
+// processBlock appends the bytes of a block to the output if the block is the next one for the
+// caller.
 func (s *streamWriter) processBlock(block eventstream.Block, raw []byte) error {
 	verdict := s.order.Check(block)
 	if !verdict.Passes() {
@@ -201,10 +203,10 @@
 	return nil
 }
 
-// maxLogged bounds what a log line shows of an engine's ID, in bytes.
+// maxLoggedID bounds the length of an engine's event ID in a log line, in bytes.
 const maxLoggedID = 64
 
-// note counts an event that is out of order, and logs the first one of each engine's
+// noteOutOfOrder counts an event that is out of order, and logs the first one of each engine's
 // stream.
 func (s *streamWriter) noteOutOfOrder(v eventstream.Verdict) {
 	metric.EventsOutOfOrder.WithLabelValues(s.q.service.Name, v.Decision.String()).Inc()
@@ -216,7 +218,7 @@
 		"last", s.order.Last(), "resumed", s.q.resumed, "events", s.events)
 }
 
-// write gives the caller bytes.
+// write sends bytes to the caller.
 func (s *streamWriter) write(data []byte) error {
 	if len(data) == 0 {
 		return nil
@@ -228,22 +230,22 @@
 	return s.control.Flush()
 }
 
-// awaitCaller bounds the time that the caller may take for what is written next.
+// setWriteDeadline bounds the time that the caller may take to read what is written next.
 func (s *streamWriter) setWriteDeadline() {
 	_ = s.control.SetWriteDeadline(clock.Deadline(callerTimeout))
 }
 
-// end passes on what is left when an engine has ended its stream. An engine that tells
-// no length may end by closing its connection, and then a part of an event is what a
-// crash leaves.
+// end relays the remaining bytes after an engine has ended its stream. An engine that sends no
+// length may end the stream by closing its connection, and then a partial event may be the result
+// of a crash.
 func (s *streamWriter) end(a *backend.Answer) error {
-	s.setWriteDeadline() // for the end of the answer, which may come long after its last event
+	s.setWriteDeadline() // for the end of the answer, which may come long after the last event
 	rest := append([]byte(nil), s.reader.Incomplete()...)
 	if len(rest) == 0 {
 		return nil
 	}
 	if s.untyped && !s.sawBlock {
-		return s.write(rest) // no event stream at all
+		return s.write(rest) // not an event stream
 	}
 	if !a.Framed {
 		return errPartialEvent
--- a/gateway/suspend.go
+++ b/gateway/suspend.go
@@ -7,16 +7,16 @@
 	"github.com/ledgepin/ledgepin/event"
 )
 
-// A process that was frozen or suspended knows what held before. Meanwhile a zone may have
-// been evacuated, or a route taken away. So it opens its links anew, over which a replica tells
-// the newest first, and its requests wait for that for a moment. A gateway that is cut off
-// goes on with what it has after that moment.
+// A process that was frozen or suspended holds state from before the suspension. Meanwhile a zone
+// may have been evacuated, or a route removed. It therefore reconnects its links, over which a
+// replica sends the current state first, and its requests wait briefly for that. After that wait, a
+// gateway that can't reach control continues with the state it has.
 
-// stillFor is the time without a step of the links' loop after which the process must have
-// stood still: replicas have given its links up by then.
+// suspendedAfter is the time without an iteration of the links' loop after which the process must
+// have been suspended: by then the replicas have dropped its links.
 const suspendedAfter = linkIdleTimeout
 
-// notice finds out whether the process has stood still until now. Callers hold the lock.
+// detectSuspension checks whether the process has been suspended until now. The caller holds l.mu.
 func (l *links) detectSuspension(now time.Time) {
 	if l.lastTick.IsZero() || now.Sub(l.lastTick) < suspendedAfter {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// upToDate takes that a replica has told the newest over its link.
+// confirmCurrent records that a replica has sent the current state over its link.
 func (l *links) confirmCurrent(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,8 +45,8 @@
 	l.current = nil
 }
 
-// awaitCurrent waits until a process that has stood still is told the newest, for as long as
-// one that has just started waits for its first table.
+// awaitCurrent waits until a process that was suspended has received the current state, at most as
+// long as a newly started process waits for its first table.
 func (l *links) awaitCurrent(ctx context.Context) {
 	l.mu.Lock()
 	l.detectSuspension(l.g.clock.Now())
