--- a/gateway/buffer.go
+++ b/gateway/buffer.go
@@ -55,23 +55,23 @@
 // readAnswer reads the complete answer of a server, no faster than memory becomes available for it.
 func readAnswer(ctx context.Context, memory *membudget.Account, a *backend.Answer) (bufferedAnswer, error) {
 	defer a.Close()
-	var h bufferedAnswer
+	var b bufferedAnswer
 	for {
-		err := h.readChunk(ctx, memory, a)
+		err := b.readChunk(ctx, memory, a)
 		switch {
 		case errors.Is(err, io.EOF):
-			return h, nil
+			return b, nil
 		case err != nil:
-			h.release(memory)
+			b.release(memory)
 			return bufferedAnswer{}, err
 		}
 	}
 }
 
 // readChunk reads the next chunk, once there is memory for it.
-func (h *bufferedAnswer) readChunk(ctx context.Context, memory *membudget.Account, a *backend.Answer) error {
+func (b *bufferedAnswer) readChunk(ctx context.Context, memory *membudget.Account, a *backend.Answer) error {
 	// One byte beyond the max size shows whether the answer ends there.
-	size := min(h.nextSize(a.Length), maxAnswer+1-h.size)
+	size := min(b.nextSize(a.Length), maxAnswer+1-b.size)
 	if size <= 0 {
 		return errAnswerTooLong
 	}
@@ -80,7 +80,7 @@
 	}
 	chunk := make([]byte, size)
 	n, err := fill(a, chunk)
-	h.chunks, h.size, h.reserved = append(h.chunks, chunk[:n]), h.size+int64(n), h.reserved+size
+	b.chunks, b.size, b.reserved = append(b.chunks, chunk[:n]), b.size+int64(n), b.reserved+size
 	return err
 }
 
@@ -94,11 +94,11 @@
 }
 
 // nextSize returns the size of the next read: the rest of an answer and its end, or a chunk.
-func (h *bufferedAnswer) nextSize(length int64) int64 {
+func (b *bufferedAnswer) nextSize(length int64) int64 {
 	switch {
 	case length >= 0:
-		return min(max(length-h.size, 0)+1, maxReadSize)
-	case h.size == 0:
+		return min(max(length-b.size, 0)+1, maxReadSize)
+	case b.size == 0:
 		return firstReadSize
 	}
 	return maxReadSize
@@ -117,17 +117,17 @@
 }
 
 // releaseFirst releases the first chunk.
-func (h *bufferedAnswer) releaseFirst(memory *membudget.Account) {
-	n := int64(cap(h.chunks[0]))
-	h.chunks[0], h.chunks = nil, h.chunks[1:]
-	h.reserved -= n
+func (b *bufferedAnswer) releaseFirst(memory *membudget.Account) {
+	n := int64(cap(b.chunks[0]))
+	b.chunks[0], b.chunks = nil, b.chunks[1:]
+	b.reserved -= n
 	memory.Release(n)
 }
 
 // release releases all chunks.
-func (h *bufferedAnswer) release(memory *membudget.Account) {
-	memory.Release(h.reserved)
-	*h = bufferedAnswer{}
+func (b *bufferedAnswer) release(memory *membudget.Account) {
+	memory.Release(b.reserved)
+	*b = bufferedAnswer{}
 }
 
 // memoryFullLogInterval is the min time between two log lines about full memory.
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -39,10 +39,10 @@
 }
 
 // setShare sets the share of the limits that this gateway may use.
-func (l *limits) setShare(p quota.Share) {
+func (l *limits) setShare(s quota.Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limiter.SetShare(l.clock.Now(), p)
+	l.limiter.SetShare(l.clock.Now(), s)
 }
 
 // update applies a replica's report of what the other gateways have used.
--- a/gateway/load_updates.go
+++ b/gateway/load_updates.go
@@ -28,15 +28,15 @@
 }
 
 // due reports whether an update has to be sent, given the number of requests that wait now.
-func (t *pendingLoads) due(now time.Time, queued int) bool {
-	passed := now.Sub(t.sentAt)
+func (p *pendingLoads) due(now time.Time, queued int) bool {
+	passed := now.Sub(p.sentAt)
 	switch {
-	case t.changed, queued != t.queued:
+	case p.changed, queued != p.queued:
 		return true
-	case t.grown && passed >= progressInterval:
+	case p.grown && passed >= progressInterval:
 		return true
 	}
-	return (t.ended || t.failures) && passed >= outcomeInterval
+	return (p.ended || p.failures) && passed >= outcomeInterval
 }
 
 // pendingUpdate returns the update for the other gateways: this gateway's reservations, the number
--- a/gateway/prompt_cache.go
+++ b/gateway/prompt_cache.go
@@ -35,12 +35,12 @@
 func (g *Gateway) cachedPromptsOf(service string) *cachedPrompts {
 	g.cachedMu.Lock()
 	defer g.cachedMu.Unlock()
-	k := g.cached[service]
-	if k == nil {
-		k = &cachedPrompts{}
-		g.cached[service] = k
+	c := g.cached[service]
+	if c == nil {
+		c = &cachedPrompts{}
+		g.cached[service] = c
 	}
-	return k
+	return c
 }
 
 // findCached returns how many tokens of a request's prompt are cached, by engine.
@@ -48,15 +48,15 @@
 	if g.cfg.Protocol.ListKept == nil || len(q.parts) == 0 {
 		return nil
 	}
-	k := g.cachedPromptsOf(q.service.Name)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if g.clock.Since(k.listedAt) >= cacheListTTL {
-		k.tokens = g.listCached(q)
-		k.listedAt = g.clock.Now()
+	c := g.cachedPromptsOf(q.service.Name)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if g.clock.Since(c.listedAt) >= cacheListTTL {
+		c.tokens = g.listCached(q)
+		c.listedAt = g.clock.Now()
 	}
 	out := map[string]int{}
-	for id, cached := range k.tokens {
+	for id, cached := range c.tokens {
 		if tokens := dispatch.CachedTokens(q.parts, cached); tokens > 0 {
 			out[id] = tokens
 		}
