--- a/gateway/buffer.go
+++ b/gateway/buffer.go
@@ -137,9 +137,10 @@
 // have read their answers.
 const memoryRetry = time.Second
 
-// abortWrite ends the write of an answer that is given up.
+// abortWrite ends the write of an answer that is given up. It fails only on a closed connection,
+// which needs no deadline.
 func abortWrite(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(clock.Deadline(0)) // fails only on a closed connection, which needs no deadline
+	_ = http.NewResponseController(w).SetWriteDeadline(clock.Deadline(0))
 }
 
 func organisationName(o *route.Organisation) string {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -39,7 +39,7 @@
 	misdirected
 	// broken: the request may have run, but has no complete answer.
 	broken
-	// late: like broken, because the time for this send was over.
+	// late: like broken, caused by the timeout of this send.
 	late
 )
 
@@ -90,8 +90,8 @@
 	g.conclude(w, q, last)
 }
 
-// mayResend reports whether a request may go to another server, which takes the given number of
-// sends.
+// mayResend reports whether a request may go to another server. If so, it charges the given number
+// of sends to the retry budget.
 func (g *Gateway) mayResend(q *request, last result, sends int) bool {
 	const minRemaining = 20 * time.Millisecond
 	if q.remaining() < minRemaining {
@@ -138,8 +138,8 @@
 	return result{kind: answered, status: a.Status, header: a.Header, body: body}
 }
 
-// attemptTimeout bounds the time of one server if the request may go to another one: after the
-// target the answer is late anyway.
+// attemptTimeout bounds the time spent on one server if the request may still go to another one:
+// after the target the answer is late anyway.
 func attemptTimeout(r *route.Route) time.Duration {
 	if r.Target <= 0 {
 		return r.Timeout
@@ -281,7 +281,8 @@
 func writeChunk(w http.ResponseWriter, control *http.ResponseController, memory *membudget.Account, chunk []byte) error {
 	for len(chunk) > 0 {
 		_ = control.SetWriteDeadline(clock.Deadline(callerTimeout))
-		if err := memory.Preempted(); err != nil { // the line before may have overwritten the deadline of abortWrite
+		// The deadline just set may have replaced that of abortWrite.
+		if err := memory.Preempted(); err != nil {
 			return err
 		}
 		n := min(len(chunk), maxWriteSize)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,9 +36,9 @@
 	Token string
 	// Protocol is the protocol of callers and servers.
 	Protocol backend.Protocol
-	// Retry bounds the retries.
+	// Retry bounds the sends of each request beyond the first.
 	Retry dispatch.Budget
-	// Quota bounds how the limits of organisations are enforced.
+	// Quota configures how the limits of organisations are enforced.
 	Quota quota.Bounds
 	// Memory bounds the memory used for callers' requests and answers.
 	Memory membudget.Limits
@@ -118,8 +118,8 @@
 // SetSeeds replaces the list of seeds.
 func (g *Gateway) SetSeeds(seeds []string) { g.links.setSeeds(seeds) }
 
-// setTable puts an indexed routing table in force, unless the current one is as new: several links
-// may deliver the same table, and a gateway never goes back to an older one.
+// setTable puts an indexed routing table in force, unless the one in force is at least as
+// new: several links may deliver the same table, and a gateway never goes back to an older one.
 func (g *Gateway) setTable(t *route.Table) {
 	for {
 		old := g.table.Load()
--- a/gateway/hub.go
+++ b/gateway/hub.go
@@ -62,7 +62,8 @@
 // Bounds of the number of gateways.
 const (
 	// minGateways is assumed while not all gateways are known.
-	minGateways  = 3
+	minGateways = 3
+	// peakDuration is how long the max that was seen remains in use.
 	peakDuration = 20 * time.Second
 )
 
