--- a/control/apply.go
+++ b/control/apply.go
@@ -10,25 +10,25 @@
 
 // flush does what the node asks for, in its order: snapshot, disk, network,
 // state. Callers hold the lock.
-func (c *Control) flush(now time.Time) {
+func (c *Control) processReady(now time.Time) {
 	for {
 		r := c.node.Take()
 		if r.Empty() {
 			return
 		}
-		if err := c.sync(r); err != nil {
-			c.diskFailed(now, err)
+		if err := c.persist(r); err != nil {
+			c.handleDiskFailure(now, err)
 			return
 		}
 		for _, p := range r.Packets {
 			c.sendPacket(p)
 		}
-		c.applyAll(now, r.Committed)
+		c.applyCommitted(now, r.Committed)
 	}
 }
 
 // sync makes durable what the packets of r promise.
-func (c *Control) sync(r consensus.Ready) error {
+func (c *Control) persist(r consensus.Ready) error {
 	if r.Snapshot != nil {
 		state, err := fleet.Restore(r.Snapshot.Data)
 		if err != nil {
@@ -36,10 +36,10 @@
 		}
 		c.state = state
 		c.publish(c.clock.Now())
-		c.tellHub(false)
+		c.updateHub(false)
 		c.membersChanged()
 	}
-	if err := c.guard(r); err != nil {
+	if err := c.requireVersionOf(r); err != nil {
 		return err
 	}
 	if c.disk == nil {
@@ -54,7 +54,7 @@
 	return c.disk.Append(r.Hard, r.Entries)
 }
 
-func (c *Control) applyAll(now time.Time, entries []consensus.Entry) {
+func (c *Control) applyCommitted(now time.Time, entries []consensus.Entry) {
 	before, version := c.state.Revision(), c.state.Version()
 	stopped := false
 	for _, e := range entries {
@@ -62,7 +62,7 @@
 			event.MembersChanged.Log(c.log, "voters", e.Members.Voters, "learners", e.Members.Learners)
 			c.membersChanged()
 		}
-		if len(e.Data) > 0 && !c.apply(e) {
+		if len(e.Data) > 0 && !c.applyEntry(e) {
 			stopped = true
 			break
 		}
@@ -73,7 +73,7 @@
 	if c.state.Revision() > before {
 		c.publish(now)
 	}
-	c.tellHub(c.node.Fresh(now))
+	c.updateHub(c.node.Fresh(now))
 	if len(entries) > 0 && !stopped {
 		c.compact(entries[len(entries)-1].Index)
 	}
@@ -81,16 +81,16 @@
 
 // tellHub passes on what gateways follow. What is evacuated goes before the table: a gateway
 // that gets its first table serves.
-func (c *Control) tellHub(fresh bool) {
+func (c *Control) updateHub(current bool) {
 	c.hub.setEvacuated(c.state.Evacuations(), c.state.Evacuated())
-	c.hub.setTable(c.state.Table(), fresh)
+	c.hub.setTable(c.state.Table(), current)
 }
 
 // apply takes one committed command; false if it can't be read.
-func (c *Control) apply(e consensus.Entry) bool {
+func (c *Control) applyEntry(e consensus.Entry) bool {
 	res, err := c.state.Apply(e.Data)
 	if err != nil {
-		c.stopAt(e.Index, err)
+		c.stopAtEntry(e.Index, err)
 		return false
 	}
 	for _, w := range c.waiters[res.ID] {
@@ -118,6 +118,6 @@
 		return
 	}
 	if err := c.disk.Snapshot(s, c.node.Hard(), c.node.Entries()); err != nil {
-		c.diskFailed(c.clock.Now(), err)
+		c.handleDiskFailure(c.clock.Now(), err)
 	}
 }
--- a/control/change.go
+++ b/control/change.go
@@ -53,24 +53,24 @@
 	select {
 	case res := <-w:
 		out.Result = res
-		return c.judged(p, out)
+		return c.outcome(p, out)
 	case <-t.C:
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 	}
-	c.forgetWaiter(p.ID, w)
+	c.removeWaiter(p.ID, w)
 	return out, fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.id, "not confirmed in time; send it again with the same change ID")
 }
 
-func (c *Control) forgetWaiter(id string, w chan fleet.Result) {
+func (c *Control) removeWaiter(id string, w chan fleet.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dropWaiter(id, w)
+	c.removeWaiterLocked(id, w)
 }
 
 // dropWaiter ends the wait for a proposal; others may wait for the same one. Callers hold the
 // lock.
-func (c *Control) dropWaiter(id string, w chan fleet.Result) {
+func (c *Control) removeWaiterLocked(id string, w chan fleet.Result) {
 	c.waiters[id] = slices.DeleteFunc(c.waiters[id], func(o chan fleet.Result) bool { return o == w })
 	if len(c.waiters[id]) == 0 {
 		delete(c.waiters, id)
@@ -86,17 +86,17 @@
 		return Outcome{}, false, nil, c.notLeader()
 	}
 	if res, ok := c.state.Result(p.ID); ok && !p.DryRun {
-		out, err := c.judgedLocked(p, Outcome{Result: res})
+		out, err := c.outcomeLocked(p, Outcome{Result: res})
 		return out, true, nil, err
 	}
-	change, edits, err := c.check(p)
+	change, edits, err := c.buildChange(p)
 	if err != nil {
 		return Outcome{}, false, nil, err
 	}
 	out := Outcome{Edits: edits, Result: fleet.Result{ID: p.ID, Revision: c.state.Revision()}}
 	if p.Base != c.state.Revision() {
 		out.Detail = fmt.Sprintf("based on revision %d, and %d is the newest", p.Base, c.state.Revision())
-		out, err := c.judgedLocked(p, out)
+		out, err := c.outcomeLocked(p, out)
 		return out, true, nil, err
 	}
 	if p.DryRun {
@@ -110,10 +110,10 @@
 	w := make(chan fleet.Result, 1)
 	c.waiters[p.ID] = append(c.waiters[p.ID], w)
 	if _, err := c.node.Propose(now, data); err != nil {
-		c.dropWaiter(p.ID, w)
+		c.removeWaiterLocked(p.ID, w)
 		return Outcome{}, false, nil, c.notLeader()
 	}
-	c.flush(now)
+	c.processReady(now)
 	return out, false, w, nil
 }
 
@@ -126,7 +126,7 @@
 }
 
 // check parses the new tree and makes the command. Callers hold the lock.
-func (c *Control) check(p Proposal) (fleet.Change, []string, error) {
+func (c *Control) buildChange(p Proposal) (fleet.Change, []string, error) {
 	tree, err := settings.Parse("settings", p.Text)
 	if err != nil {
 		return fleet.Change{}, nil, fault.Wrap(err, fault.BadSettings, fault.StepSettings, "operator")
@@ -145,14 +145,14 @@
 	}, edits, nil
 }
 
-func (c *Control) judged(p Proposal, out Outcome) (Outcome, error) {
+func (c *Control) outcome(p Proposal, out Outcome) (Outcome, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.judgedLocked(p, out)
+	return c.outcomeLocked(p, out)
 }
 
 // judgedLocked turns a result into an answer: a lost race shows what changed.
-func (c *Control) judgedLocked(p Proposal, out Outcome) (Outcome, error) {
+func (c *Control) outcomeLocked(p Proposal, out Outcome) (Outcome, error) {
 	if out.OK {
 		event.SettingChanged.Log(c.log, "change", p.ID, "revision", out.Revision, "who", p.Who)
 		return out, nil
@@ -178,7 +178,7 @@
 
 // fresh tells whether this replica is sure of the newest: it leads, or is in touch with who
 // does. Callers hold the lock.
-func (c *Control) fresh(now time.Time) bool {
+func (c *Control) isCurrent(now time.Time) bool {
 	return c.node != nil && c.ctx.Err() == nil && c.node.Fresh(now)
 }
 
@@ -187,7 +187,7 @@
 func (c *Control) Settings() (CurrentSettings, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fresh(c.clock.Now()) {
+	if !c.isCurrent(c.clock.Now()) {
 		return CurrentSettings{}, c.notLeader()
 	}
 	return CurrentSettings{Revision: c.state.Revision(), Text: string(c.state.Text()), Current: true}, nil
@@ -197,7 +197,7 @@
 func (c *Control) History(after uint64) ([]fleet.Past, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fresh(c.clock.Now()) {
+	if !c.isCurrent(c.clock.Now()) {
 		return nil, c.notLeader()
 	}
 	return slices.Clone(c.state.History(after)), nil
@@ -213,16 +213,16 @@
 		return
 	}
 	members := c.node.Status(now).Members
-	step := nextStep(members, wanted(c.store.Tree()), c.joinable(), c.node.Caught)
+	step := nextStep(members, configuredNames(c.store.Tree()), c.joinable(), c.node.Caught)
 	if step == (consensus.Change{}) {
 		return
 	}
 	if _, err := c.node.ChangeMembers(now, step); err == nil {
-		c.flush(now)
+		c.processReady(now)
 	}
 }
 
-func wanted(t *settings.Tree) []string {
+func configuredNames(t *settings.Tree) []string {
 	var out []string
 	for name := range t.Fleet.Control {
 		out = append(out, name)
@@ -233,18 +233,18 @@
 // nextStep chooses one step of membership. A voter is removed only while every
 // learner that could take its place has caught up, so that a second loss right
 // after the first finds a whole group.
-func nextStep(m consensus.Members, want, seen []string, caught func(string) bool) consensus.Change {
-	for _, id := range seen {
+func nextStep(m consensus.Members, want, connected []string, caught func(string) bool) consensus.Change {
+	for _, id := range connected {
 		if slices.Contains(want, baseName(id)) && !slices.Contains(m.Voters, id) && !slices.Contains(m.Learners, id) {
 			return consensus.Change{Add: id}
 		}
 	}
 	ready := ""
 	for _, id := range m.Learners {
-		if slices.Contains(seen, id) && !caught(id) {
+		if slices.Contains(connected, id) && !caught(id) {
 			return consensus.Change{} // wait for it
 		}
-		if caught(id) && slices.Contains(seen, id) && ready == "" {
+		if caught(id) && slices.Contains(connected, id) && ready == "" {
 			ready = id
 		}
 	}
@@ -253,13 +253,13 @@
 	}
 	for _, id := range m.Voters {
 		replaced := slices.ContainsFunc(m.Learners, func(l string) bool { return baseName(l) == baseName(id) })
-		gone := !slices.Contains(want, baseName(id)) || replaced
-		if gone && (ready != "" || len(m.Voters) > maxVoters) {
+		removable := !slices.Contains(want, baseName(id)) || replaced
+		if removable && (ready != "" || len(m.Voters) > maxVoters) {
 			return consensus.Change{Remove: id}
 		}
 	}
 	for _, id := range m.Learners {
-		if !slices.Contains(want, baseName(id)) || !slices.Contains(seen, id) && hasTwin(m, id) {
+		if !slices.Contains(want, baseName(id)) || !slices.Contains(connected, id) && hasOtherIdentity(m, id) {
 			return consensus.Change{Remove: id}
 		}
 	}
@@ -268,7 +268,7 @@
 
 // hasTwin tells whether another replica of the same name is a member: the one
 // with the older identity has lost its disk.
-func hasTwin(m consensus.Members, id string) bool {
-	twin := func(s string) bool { return s != id && baseName(s) == baseName(id) }
-	return slices.ContainsFunc(m.Voters, twin) || slices.ContainsFunc(m.Learners, twin)
+func hasOtherIdentity(m consensus.Members, id string) bool {
+	otherIdentity := func(s string) bool { return s != id && baseName(s) == baseName(id) }
+	return slices.ContainsFunc(m.Voters, otherIdentity) || slices.ContainsFunc(m.Learners, otherIdentity)
 }
--- a/control/cold.go
+++ b/control/cold.go
@@ -11,7 +11,7 @@
 )
 
 // coldEvery is the time between two looks at which servers are cold.
-const coldEvery = 100 * time.Millisecond
+const coldCheckEvery = 100 * time.Millisecond
 
 // coldService returns what the table says of the cold servers of a service; false if they bear
 // as much as others. Callers hold the lock.
@@ -27,25 +27,25 @@
 // given back and it has not reported itself since, its caches may have been dropped. Callers
 // hold the lock.
 func (h *hub) isCold(now time.Time, s registry.Server) bool {
-	service, bounded := h.coldService(s.Service)
-	if !bounded {
+	service, limited := h.coldService(s.Service)
+	if !limited {
 		return false
 	}
-	heard := now.Add(-s.Age)
-	back := h.givenBack[s.Zone]
-	unsure := !back.IsZero() && !heard.After(back) && now.Sub(back) < service.ColdStart
-	return unsure || heard.Add(s.Cold).After(now)
+	reportedAt := now.Add(-s.Age)
+	finishedAt := h.evacuationEndedAt[s.Zone]
+	unconfirmed := !finishedAt.IsZero() && !reportedAt.After(finishedAt) && now.Sub(finishedAt) < service.ColdStart
+	return unconfirmed || reportedAt.Add(s.Cold).After(now)
 }
 
 // tellCold lends this replica's parts of cold servers to the gateways that share with it.
 // Callers hold the lock.
-func (h *hub) tellCold(now time.Time) {
-	if now.Sub(h.coldAt) < coldEvery {
+func (h *hub) lendColdServers(now time.Time) {
+	if now.Sub(h.coldCheckedAt) < coldCheckEvery {
 		return
 	}
-	h.coldAt = now
-	h.keepOlder(now)
-	if !h.bounded {
+	h.coldCheckedAt = now
+	h.updateOlderGateways(now)
+	if !h.hasColdLimits {
 		return
 	}
 	var cold []warmup.ColdServer
@@ -55,9 +55,9 @@
 			continue
 		}
 		service, _ := h.coldService(s.Service)
-		if share := h.coldBounds.Share(service.ColdRate, len(h.replicas), h.index()); share > 0 {
+		if share := h.coldBounds.Share(service.ColdRate, len(h.replicas), h.replicaIndex()); share > 0 {
 			shares[s.ID] = share
-			cold = append(cold, warmup.ColdServer{Server: s.ID, Gateways: h.workWith(s.ID)})
+			cold = append(cold, warmup.ColdServer{Server: s.ID, Gateways: h.gatewaysOf(s.ID)})
 		}
 	}
 	if len(cold) == 0 {
@@ -76,7 +76,7 @@
 
 // index returns which of the replicas this one is; below zero if it is none of them. Callers
 // hold the lock.
-func (h *hub) index() int {
+func (h *hub) replicaIndex() int {
 	sorted := slices.Clone(h.replicas)
 	slices.Sort(sorted)
 	return slices.Index(sorted, h.name)
@@ -84,10 +84,10 @@
 
 // workWith returns the IDs of the gateways that share with this replica and work with a server.
 // Callers hold the lock.
-func (h *hub) workWith(server string) []string {
+func (h *hub) gatewaysOf(server string) []string {
 	var out []string
 	for l, g := range h.gateways {
-		if _, works := g.servers[server]; works && g.sharing && l.Speaks() >= wire.KnowsEvacuations {
+		if _, works := g.servers[server]; works && g.reportsLoads && l.Speaks() >= wire.KnowsEvacuations {
 			out = append(out, g.id)
 		}
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -74,13 +74,13 @@
 
 // Times of the replicated log.
 const (
-	tickEvery      = 20 * time.Millisecond
-	beatEvery      = 2 * time.Second
-	raftBeat       = 150 * time.Millisecond
-	electionMin    = time.Second
-	clockDrift     = 0.05
-	reconcileEvery = 500 * time.Millisecond
-	zonesEvery     = 10 * time.Second
+	tickEvery          = 20 * time.Millisecond
+	heartbeatEvery     = 2 * time.Second
+	raftHeartbeatEvery = 150 * time.Millisecond
+	electionMin        = time.Second
+	clockDrift         = 0.05
+	reconcileEvery     = 500 * time.Millisecond
+	zonesSendEvery     = 10 * time.Second
 
 	// DefaultSnapshotEvery is the number of entries between snapshots.
 	DefaultSnapshotEvery = 1000
@@ -99,50 +99,50 @@
 	wg     sync.WaitGroup
 	// mu serialises steps of the node with their disk writes, so that packets
 	// go out only after what they promise is synced.
-	mu      sync.Mutex
-	node    *consensus.Node // nil until the replica knows who it is
-	disk    *wal.Journal
-	state   *fleet.State
-	store   spread.Store
-	waiters map[string][]chan fleet.Result
-	out     map[string]*peerLink // links to other replicas, by name
-	down    map[*wire.Link]bool  // links of relays and entries
-	seen    map[string]int       // links of identities that have dialled in
-	asked   map[string]bool      // first members that have asked whether to found
-	hub     *hub
+	mu           sync.Mutex
+	node         *consensus.Node // nil until the replica knows who it is
+	disk         *wal.Journal
+	state        *fleet.State
+	store        spread.Store
+	waiters      map[string][]chan fleet.Result
+	peerLinks    map[string]*peerLink // links to other replicas, by name
+	downstream   map[*wire.Link]bool  // links of relays and entries
+	connected    map[string]int       // links of identities that have dialled in
+	askedToFound map[string]bool      // first members that have asked whether to found
+	hub          *hub
 	// proposals numbers the tables that were proposed here.
 	proposals int
 	// reviveAt is when a replica whose disk has failed tries it again.
-	reviveAt time.Time
-	joinAt   time.Time
-	led      bool
-	zones    map[string]*wire.Summary
-	planner  order.Planner
-	broker   *quota.Broker
-	beatAt   time.Time
-	zonesAt  time.Time
-	planAt   time.Time
-	floorAt  time.Time
+	diskRetryAt   time.Time
+	discoverAt    time.Time
+	wasLeader     bool
+	zoneSummaries map[string]*wire.Summary
+	planner       order.Planner
+	quotaBroker   *quota.Broker
+	heartbeatAt   time.Time
+	zonesSentAt   time.Time
+	plannedAt     time.Time
+	floorSentAt   time.Time
 	// refused bounds the lines about reports of servers and of replicas that are not used.
-	refused event.Limiter
+	rejectionLog event.Limiter
 	// gate decides when the fleet's version rises, while this replica leads.
 	gate     compat.Gate
 	gateTerm uint64
 	// replicas are the open links to other replicas, both ways, and lastTold what each
 	// identity told last.
-	replicas map[*wire.Link]bool
-	lastTold map[string]wire.Hello
+	replicaLinks map[*wire.Link]bool
+	lastHello    map[string]wire.Hello
 	// holds is the highest version that an entry of the log or the snapshot needs.
-	holds int
+	requiredVersion int
 	// unread tells why the replica has stopped for good: it holds what it can't read.
-	unread string
+	stopReason string
 }
 
 // Lines about refused reports of servers: one a minute for each server and reason, and for no
 // more of them than a large fleet has servers.
 const (
-	refusedEvery = time.Minute
-	mostRefused  = 1000
+	rejectionLogEvery   = time.Minute
+	maxRejectionLogKeys = 1000
 )
 
 // Start opens the journal and returns a running replica.
@@ -154,11 +154,11 @@
 	c := &Control{
 		cfg: cfg, clock: cfg.Clock, log: cfg.Log.With("role", "control", "name", cfg.Name), epoch: clock.Day().UnixNano(),
 		ctx: ctx, cancel: cancel, state: fleet.New(), waiters: map[string][]chan fleet.Result{},
-		out: map[string]*peerLink{}, down: map[*wire.Link]bool{}, seen: map[string]int{}, replicas: map[*wire.Link]bool{}, lastTold: map[string]wire.Hello{}, holds: compat.Base, asked: map[string]bool{}, zones: map[string]*wire.Summary{},
-		broker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.Quota), refused: event.Limiter{Every: refusedEvery, Most: mostRefused},
+		peerLinks: map[string]*peerLink{}, downstream: map[*wire.Link]bool{}, connected: map[string]int{}, replicaLinks: map[*wire.Link]bool{}, lastHello: map[string]wire.Hello{}, requiredVersion: compat.Base, askedToFound: map[string]bool{}, zoneSummaries: map[string]*wire.Summary{},
+		quotaBroker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.Quota), rejectionLog: event.Limiter{Every: rejectionLogEvery, Most: maxRejectionLogKeys},
 	}
 	c.dialer.Log, c.hub.log = c.log, c.log
-	c.hub.name, c.hub.coldBounds, c.hub.read = cfg.Name, cfg.Cold, cfg.ParseTable
+	c.hub.name, c.hub.coldBounds, c.hub.parseTable = cfg.Name, cfg.Cold, cfg.ParseTable
 	c.hub.limits = newLimits(cfg.Clock.Now(), cfg.Name)
 	if cfg.Discovery != nil {
 		c.wg.Go(c.bootDiscovered)
@@ -166,7 +166,7 @@
 	}
 	disk, restored, fresh, err := c.openDisk()
 	if err != nil {
-		c.cantRead(err)
+		c.stopIfNewer(err)
 		cancel()
 		return nil, err
 	}
@@ -246,25 +246,25 @@
 	}
 	c.state = state
 	if c.disk != nil {
-		c.holds = max(c.holds, c.disk.Version())
+		c.requiredVersion = max(c.requiredVersion, c.disk.Version())
 	}
-	if err := c.guardFrom(state.Version()); err != nil {
+	if err := c.requireVersion(state.Version()); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(uint64(c.epoch), uint64(clock.Day().UnixNano())))
-	c.node = consensus.New(c.times(c.id), r, r.Snapshot.Members, c.clock.Now(), rng)
-	for id := range c.seen {
-		c.noteSuccessor(id)
+	c.node = consensus.New(c.raftConfig(c.id), r, r.Snapshot.Members, c.clock.Now(), rng)
+	for id := range c.connected {
+		c.markReplacedVoters(id)
 	}
 	c.publish(c.clock.Now())
 	return nil
 }
 
 // times returns the settings of the replicated log.
-func (c *Control) times(id string) consensus.Config {
-	least := cmp.Or(c.cfg.ElectionMin, electionMin)
+func (c *Control) raftConfig(id string) consensus.Config {
+	minElection := cmp.Or(c.cfg.ElectionMin, electionMin)
 	return consensus.Config{
-		ID: id, HeartbeatEvery: cmp.Or(c.cfg.HeartbeatEvery, raftBeat), ElectionMin: least, ElectionMax: 2 * least, Drift: clockDrift,
+		ID: id, HeartbeatEvery: cmp.Or(c.cfg.HeartbeatEvery, raftHeartbeatEvery), ElectionMin: minElection, ElectionMax: 2 * minElection, Drift: clockDrift,
 	}
 }
 
@@ -290,7 +290,7 @@
 func (c *Control) options() wire.Options {
 	o := wire.Options{Hello: c.hello, Token: c.cfg.Token, TLS: c.cfg.TLS, Versions: c.cfg.Versions}
 	if c.cfg.Discovery != nil {
-		o.Idle = discoveredIdle
+		o.Idle = discoveredIdleTimeout
 	}
 	return o
 }
@@ -309,10 +309,10 @@
 func (c *Control) Close() {
 	c.cancel()
 	c.mu.Lock()
-	for _, p := range c.out {
+	for _, p := range c.peerLinks {
 		p.stop()
 	}
-	for l := range c.down {
+	for l := range c.downstream {
 		l.Close()
 	}
 	c.mu.Unlock()
@@ -328,49 +328,49 @@
 func (c *Control) tick(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cfg.Discovery != nil && !now.Before(c.reviveAt) && c.node.Failed() && c.unread == "" {
-		c.revive(now)
+	if c.cfg.Discovery != nil && !now.Before(c.diskRetryAt) && c.node.Failed() && c.stopReason == "" {
+		c.reopenDisk(now)
 	}
 	c.node.Tick(now)
-	c.flush(now)
-	c.noteLeadership(now)
-	if now.Sub(c.beatAt) >= c.beatEvery() {
-		c.beatAt = now
-		c.beat(now)
+	c.processReady(now)
+	c.updateLeadership(now)
+	if now.Sub(c.heartbeatAt) >= c.heartbeatInterval() {
+		c.heartbeatAt = now
+		c.sendHeartbeats(now)
 	}
-	if now.Sub(c.planAt) >= reconcileEvery {
-		c.planAt = now
+	if now.Sub(c.plannedAt) >= reconcileEvery {
+		c.plannedAt = now
 		c.reconcile(now)
-		c.orders(now)
-		c.raise(now)
+		c.issueOrders(now)
+		c.raiseVersionIfReady(now)
 	}
-	if c.cfg.Discovery != nil && now.Sub(c.joinAt) >= joinEvery {
-		c.joinAt = now
+	if c.cfg.Discovery != nil && now.Sub(c.discoverAt) >= discoverEvery {
+		c.discoverAt = now
 		c.discover(now)
 	}
-	if now.Sub(c.zonesAt) >= zonesEvery {
-		c.zonesAt = now
-		c.tellZones()
+	if now.Sub(c.zonesSentAt) >= zonesSendEvery {
+		c.zonesSentAt = now
+		c.sendZones()
 	}
 }
 
 // joinEvery is the time between two steps of discovered membership.
-const joinEvery = 100 * time.Millisecond
+const discoverEvery = 100 * time.Millisecond
 
-func (c *Control) beatEvery() time.Duration {
+func (c *Control) heartbeatInterval() time.Duration {
 	if c.cfg.Discovery != nil {
-		return discoveredBeat
+		return discoveredHeartbeatEvery
 	}
-	return beatEvery
+	return heartbeatEvery
 }
 
-func (c *Control) noteLeadership(now time.Time) {
+func (c *Control) updateLeadership(now time.Time) {
 	c.hub.setLeader(baseName(c.node.Leader()))
 	leads := c.node.Lead(now)
-	if leads == c.led {
+	if leads == c.wasLeader {
 		return
 	}
-	c.led = leads
+	c.wasLeader = leads
 	if leads {
 		event.LeaderElected.Log(c.log, "term", c.node.Term())
 		c.planner = order.Planner{}
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -26,20 +26,20 @@
 const (
 	// lostVoter is the silence after which a voter gives way to a learner that
 	// has caught up. Without such a learner a silent voter stays.
-	lostVoter = 1500 * time.Millisecond
+	voterLostAfter = 1500 * time.Millisecond
 	// lostLearner is the silence after which a learner is dropped.
-	lostLearner = 6 * time.Second
+	learnerLostAfter = 6 * time.Second
 	// discoveredIdle is the silence after which links are opened anew.
-	discoveredIdle = 1500 * time.Millisecond
-	discoveredBeat = 400 * time.Millisecond
+	discoveredIdleTimeout    = 1500 * time.Millisecond
+	discoveredHeartbeatEvery = 400 * time.Millisecond
 )
 
 // membership is what decides about a step of discovered membership.
 type membership struct {
 	members consensus.Members
 	// seen are the identities that have a link to the leader.
-	seen   []string
-	voters int
+	connected []string
+	voters    int
 	// caught tells whether a learner has the leader's log, silence how long a
 	// member has said nothing.
 	caught  func(id string) bool
@@ -49,14 +49,14 @@
 // step chooses one step of membership. A voter leaves only while a learner
 // that has caught up is there to take its place.
 func (m *membership) step() consensus.Change {
-	for _, id := range m.seen {
+	for _, id := range m.connected {
 		if !slices.Contains(m.members.Voters, id) && !slices.Contains(m.members.Learners, id) {
 			return consensus.Change{Add: id}
 		}
 	}
 	ready := ""
 	for _, id := range m.members.Learners {
-		if slices.Contains(m.seen, id) && m.caught(id) {
+		if slices.Contains(m.connected, id) && m.caught(id) {
 			ready = id
 			break
 		}
@@ -65,12 +65,12 @@
 		if len(m.members.Voters) < m.voters {
 			return consensus.Change{Promote: ready}
 		}
-		if id := m.leaver(ready); id != "" {
+		if id := m.voterToRemove(ready); id != "" {
 			return consensus.Change{Remove: id}
 		}
 	}
 	for _, id := range m.members.Learners {
-		if !slices.Contains(m.seen, id) && (hasTwin(m.members, id) || m.silence(id) > lostLearner) {
+		if !slices.Contains(m.connected, id) && (hasOtherIdentity(m.members, id) || m.silence(id) > learnerLostAfter) {
 			return consensus.Change{Remove: id}
 		}
 	}
@@ -79,17 +79,17 @@
 
 // leaver returns the voter that gives way to a learner: the one that has lost
 // the disk at the learner's address, or else the one that is silent longest.
-func (m *membership) leaver(ready string) string {
-	longest, leaver := lostVoter, ""
+func (m *membership) voterToRemove(ready string) string {
+	longestSilence, candidate := voterLostAfter, ""
 	for _, id := range m.members.Voters {
 		if baseName(id) == baseName(ready) {
 			return id
 		}
-		if s := m.silence(id); s > longest && !slices.Contains(m.seen, id) {
-			longest, leaver = s, id
+		if s := m.silence(id); s > longestSilence && !slices.Contains(m.connected, id) {
+			longestSilence, candidate = s, id
 		}
 	}
-	return leaver
+	return candidate
 }
 
 // discover brings the membership in line with who is there. Callers hold the
@@ -102,24 +102,24 @@
 		members: c.node.Status(now).Members, voters: c.cfg.Discovery.Voters, caught: c.node.Caught,
 		silence: func(id string) time.Duration { return c.node.Silence(now, id) },
 	}
-	m.seen = c.joinable()
+	m.connected = c.joinable()
 	step := m.step()
 	if step == (consensus.Change{}) {
 		return
 	}
 	if _, err := c.node.ChangeMembers(now, step); err == nil {
-		c.flush(now)
+		c.processReady(now)
 	}
 }
 
 // meet opens links to replicas that this one has heard of, once it knows its own
 // identity: a link tells it to the other side. Callers hold the lock.
-func (c *Control) meet(addresses []string) {
+func (c *Control) dialAddresses(addresses []string) {
 	if c.id == "" {
 		return
 	}
 	for _, a := range addresses {
-		if _, ok := c.out[a]; !ok && a != c.cfg.Name {
+		if _, ok := c.peerLinks[a]; !ok && a != c.cfg.Name {
 			c.dialPeer(a, a)
 		}
 	}
@@ -147,20 +147,20 @@
 		return
 	}
 	addresses := c.addresses()
-	c.meet(addresses)
-	for name, p := range c.out {
+	c.dialAddresses(addresses)
+	for name, p := range c.peerLinks {
 		known := slices.Contains(addresses, name) || slices.Contains(c.cfg.Discovery.Seeds, name)
-		if !known && p.link == nil && !c.seenAt(name) {
+		if !known && p.link == nil && !c.isConnectedFrom(name) {
 			p.stop()
-			delete(c.out, name)
+			delete(c.peerLinks, name)
 		}
 	}
-	c.hub.tellReplicas(addresses)
+	c.hub.setReplicas(addresses)
 }
 
 // seenAt tells whether a replica has a link from an address.
-func (c *Control) seenAt(address string) bool {
-	for id := range c.seen {
+func (c *Control) isConnectedFrom(address string) bool {
+	for id := range c.connected {
 		if baseName(id) == address {
 			return true
 		}
@@ -176,29 +176,29 @@
 		return
 	}
 	c.cfg.Discovery.Seeds = seeds
-	c.meet(seeds)
+	c.dialAddresses(seeds)
 }
 
 // learn takes what another replica says on the link that this one opened.
-func (c *Control) learn(l *wire.Link, m *wire.Message) {
+func (c *Control) handlePeerMessage(l *wire.Link, m *wire.Message) {
 	if m.Loads != nil {
 		c.hub.setPeerLoads(l, m.Loads)
 	}
 	if m.Use != nil {
-		c.hub.setPeerUse(l, m.Use)
+		c.hub.applyPeerUsage(l, m.Use)
 	}
 	if m.Servers != nil {
-		c.hub.take(l, m.Servers)
+		c.hub.mergePeerServers(l, m.Servers)
 	}
 	if m.Contents != nil {
-		c.hub.takeContents(m.Contents)
+		c.hub.mergeContents(m.Contents)
 	}
 	if m.Limits != nil {
-		c.hub.takePeerLimits(l, m.Limits)
+		c.hub.handlePeerLimits(l, m.Limits)
 	}
 	if m.Replicas != nil && c.cfg.Discovery != nil {
 		c.mu.Lock()
-		c.meet(m.Replicas.Addresses)
+		c.dialAddresses(m.Replicas.Addresses)
 		c.mu.Unlock()
 	}
 }
--- a/control/disk.go
+++ b/control/disk.go
@@ -11,7 +11,7 @@
 )
 
 // reviveEvery is the time between two tries of a disk that has failed.
-const reviveEvery = 400 * time.Millisecond
+const diskRetryEvery = 400 * time.Millisecond
 
 // bootDiscovered opens the disk and takes part. A disk that is full or refuses
 // writes at the start is tried again: the replica is of use once it is back.
@@ -25,31 +25,31 @@
 		if err == nil {
 			break
 		}
-		if c.cantRead(err) {
+		if c.stopIfNewer(err) {
 			return
 		}
 		event.JournalFailed.Log(c.log, "error", fault.From(err))
 		if disk != nil {
 			_ = disk.Close()
 		}
-		wait.For(c.ctx, reviveEvery)
+		wait.For(c.ctx, diskRetryEvery)
 	}
 	if c.ctx.Err() != nil {
 		return
 	}
 	event.Started.Log(c.log, "id", c.id)
 	c.mu.Lock()
-	c.meet(c.cfg.Discovery.Seeds)
-	for id := range c.seen {
-		c.meet([]string{baseName(id)})
+	c.dialAddresses(c.cfg.Discovery.Seeds)
+	for id := range c.connected {
+		c.dialAddresses([]string{baseName(id)})
 	}
 	c.membersChanged()
-	c.tellHub(false)
+	c.updateHub(false)
 	c.mu.Unlock()
-	c.loadKnown()
+	c.loadStateFiles()
 	c.wg.Go(c.hubLoop)
-	for _, f := range c.knownFiles() {
-		c.wg.Go(func() { c.keepKnown(f) })
+	for _, f := range c.stateFiles() {
+		c.wg.Go(func() { c.saveStateFile(f) })
 	}
 	if c.cfg.Roles.Protocol != nil {
 		c.wg.Go(c.roleLoop)
@@ -66,32 +66,32 @@
 // hubLoop keeps the gateways told; a disk that stalls does not hold it up.
 func (c *Control) hubLoop() {
 	wait.Each(c.ctx, c.clock, loadsEvery, func(now time.Time) {
-		fresh := false
+		current := false
 		if c.mu.TryLock() {
-			fresh = c.node.Fresh(now)
+			current = c.node.Fresh(now)
 			c.mu.Unlock()
 		}
-		c.hub.tick(now, fresh)
+		c.hub.tick(now, current)
 	})
 }
 
 // diskFailed gives up the vote of the replica: what its disk holds is not known
 // any more. Callers hold the lock.
-func (c *Control) diskFailed(now time.Time, err error) {
+func (c *Control) handleDiskFailure(now time.Time, err error) {
 	event.JournalFailed.Log(c.log, "error", fault.From(err))
 	c.node.Fail()
-	c.reviveAt = now.Add(reviveEvery)
+	c.diskRetryAt = now.Add(diskRetryEvery)
 }
 
 // revive reads the disk again and, if all of it can be written anew and synced,
 // lets the replica take part with what the disk holds. Callers hold the lock.
-func (c *Control) revive(now time.Time) {
-	c.reviveAt = now.Add(reviveEvery)
+func (c *Control) reopenDisk(now time.Time) {
+	c.diskRetryAt = now.Add(diskRetryEvery)
 	_ = c.disk.Close()
 	disk, restored, _, err := c.openDisk()
 	if err == nil {
 		c.disk = disk
-		err = c.rewrite(restored)
+		err = c.rewriteDisk(restored)
 	}
 	if err == nil {
 		err = c.rebuild(restored)
@@ -105,6 +105,6 @@
 
 // rewrite makes what was read durable: after a refused sync the files may show
 // what the disk does not hold.
-func (c *Control) rewrite(r consensus.Restored) error {
+func (c *Control) rewriteDisk(r consensus.Restored) error {
 	return c.disk.Snapshot(r.Snapshot, r.Hard, r.Entries)
 }
--- a/control/dump.go
+++ b/control/dump.go
@@ -28,10 +28,10 @@
 func (c *Control) Ready() (bool, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unread != "" {
-		return false, c.unread
+	if c.stopReason != "" {
+		return false, c.stopReason
 	}
-	if !c.fresh(c.clock.Now()) {
+	if !c.isCurrent(c.clock.Now()) {
 		return false, "no leader with a live lease is in reach"
 	}
 	return true, ""
@@ -63,15 +63,15 @@
 	if c.disk != nil {
 		d.Journal = c.disk.Size()
 	}
-	for name, p := range c.out {
+	for name, p := range c.peerLinks {
 		if p.link != nil {
 			d.Peers = append(d.Peers, name)
 		}
 	}
-	for id := range c.seen {
+	for id := range c.connected {
 		d.Seen = append(d.Seen, id)
 	}
-	for l := range c.down {
+	for l := range c.downstream {
 		d.Relays = append(d.Relays, l.Peer.Name)
 	}
 	return d
--- a/control/engines.go
+++ b/control/engines.go
@@ -15,22 +15,22 @@
 	role string
 	// back is the soonest that it can be back, and given the latest that it is
 	// waited for.
-	back, given time.Time
+	earliestBack, deadline time.Time
 }
 
 // setAway tells all gateways that an engine changes its role.
-func (h *hub) setAway(id, role string, least time.Duration) {
+func (h *hub) markAway(id, role string, minDuration time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
-	h.away[id] = awayEngine{role: role, back: now.Add(least), given: now.Add(least + awayLimit)}
-	h.changed = true
-	h.toGateways(&wire.Message{Servers: &wire.Servers{Away: h.awayList(now)}})
+	h.away[id] = awayEngine{role: role, earliestBack: now.Add(minDuration), deadline: now.Add(minDuration + awayGrace)}
+	h.serversChanged = true
+	h.sendToGateways(&wire.Message{Servers: &wire.Servers{Away: h.awayList(now)}})
 }
 
 // awayLimit is how long an engine is waited for beyond the least time: its runs
 // come to their end first.
-const awayLimit = 10 * time.Second
+const awayGrace = 10 * time.Second
 
 // awayList returns the engines that are away, and forgets those that are back
 // or are not waited for any more. Callers hold the lock.
@@ -38,19 +38,19 @@
 	var out []wire.Away
 	for id, a := range h.away {
 		s, known := h.servers.Get(id)
-		done := known && s.Role == a.role && now.After(a.back)
-		if !known || done || now.After(a.given) {
+		done := known && s.Role == a.role && now.After(a.earliestBack)
+		if !known || done || now.After(a.deadline) {
 			delete(h.away, id)
 			continue
 		}
-		out = append(out, wire.Away{Server: id, Role: a.role, For: max(a.back.Sub(now), 0)})
+		out = append(out, wire.Away{Server: id, Role: a.role, For: max(a.earliestBack.Sub(now), 0)})
 	}
 	return out
 }
 
 // engines returns the engines of each service for the planner, with what all
 // gateways have reserved there.
-func (h *hub) engines(now time.Time) map[string][]roles.Engine {
+func (h *hub) serviceEngines(now time.Time) map[string][]roles.Engine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.awayList(now)
@@ -59,7 +59,7 @@
 		if s.Role == "" || s.State != registry.Ready || h.isEvacuated(s.Zone) || h.isLimited(now, s.ID) {
 			continue
 		}
-		e := roles.Engine{ID: s.ID, Zone: s.Zone, Role: s.Role, Busy: h.sum[s.ID].Prefill > 0, Utilization: h.used(s.Service, h.sum[s.ID])}
+		e := roles.Engine{ID: s.ID, Zone: s.Zone, Role: s.Role, Busy: h.totalLoads[s.ID].Prefill > 0, Utilization: h.utilization(s.Service, h.totalLoads[s.ID])}
 		if a, ok := h.away[s.ID]; ok {
 			e.Role, e.Switching = a.role, true
 		}
@@ -70,8 +70,8 @@
 
 // used returns the share of an engine that its runs fill, by memory or by
 // slots.
-func (h *hub) used(service string, l wire.EngineLoad) float64 {
-	engine, ok := h.engine(service)
+func (h *hub) utilization(service string, l wire.EngineLoad) float64 {
+	engine, ok := h.engineSpecLocked(service)
 	if !ok {
 		return 0
 	}
@@ -82,7 +82,7 @@
 
 // engine returns what the table says of the engines of a service. Callers hold
 // the lock.
-func (h *hub) engine(service string) (route.Engine, bool) {
+func (h *hub) engineSpecLocked(service string) (route.Engine, bool) {
 	if h.table == nil {
 		return route.Engine{}, false
 	}
@@ -94,14 +94,14 @@
 }
 
 // engineOf returns what the table says of the engines of a service.
-func (h *hub) engineOf(service string) (route.Engine, bool) {
+func (h *hub) engineSpec(service string) (route.Engine, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.engine(service)
+	return h.engineSpecLocked(service)
 }
 
 // get returns a server by the name of its incarnation.
-func (h *hub) get(id string) (registry.Server, bool) {
+func (h *hub) server(id string) (registry.Server, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.servers.Get(id)
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -23,14 +23,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := c.raiseTo(ctx, compat.Evacuations); err != nil {
+	if err := c.raiseVersionTo(ctx, compat.Evacuations); err != nil {
 		return err
 	}
 	id, w, err := c.proposeEvacuation(ctx, zone, finished)
 	if err != nil {
 		return err
 	}
-	return c.confirmed(ctx, id, w)
+	return c.awaitCommit(ctx, id, w)
 }
 
 func (c *Control) proposeEvacuation(ctx context.Context, zone string, finished bool) (string, chan fleet.Result, error) {
@@ -43,14 +43,14 @@
 	if err := ctx.Err(); err != nil { // who sent it may have sent the opposite elsewhere since
 		return "", nil, fault.Wrap(err, fault.ChangeOutcomeUnknown, fault.StepSettings, "operator")
 	}
-	return c.proposeOnce(now, "evacuation of "+zone, fleet.Change{
+	return c.proposeUnique(now, "evacuation of "+zone, fleet.Change{
 		When: clock.Day().UnixNano(), Evacuation: &fleet.Evacuation{Zone: zone, Finished: finished},
 	})
 }
 
 // raiseTo raises the fleet's version to the one that an order of an operator needs, unless a
 // member of control does not read it.
-func (c *Control) raiseTo(ctx context.Context, version int) error {
+func (c *Control) raiseVersionTo(ctx context.Context, version int) error {
 	if c.fleetVersion() >= version {
 		return nil
 	}
@@ -60,7 +60,7 @@
 	}
 	for _, m := range u.Members {
 		if m.Versions == nil || !m.Versions.Contains(version) {
-			return heldBack(version, m.ID, compat.CauseUnable)
+			return versionBlocked(version, m.ID, compat.CauseUnable)
 		}
 	}
 	for c.fleetVersion() < version {
@@ -68,13 +68,13 @@
 			return err
 		}
 		if u.Version < version && len(u.Holds) > 0 {
-			return heldBack(version, u.Holds[0].Member, u.Holds[0].Cause)
+			return versionBlocked(version, u.Holds[0].Member, u.Holds[0].Cause)
 		}
 	}
 	return nil
 }
 
-func heldBack(version int, member string, cause compat.Cause) error {
+func versionBlocked(version int, member string, cause compat.Cause) error {
 	return fault.New(fault.NotReady, fault.StepSettings, member,
 		fmt.Sprintf("the order needs version %d of the fleet, which is held back: %s", version, cause))
 }
@@ -90,7 +90,7 @@
 func (c *Control) EvacuatedZones() ([]fleet.EvacuatedZone, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fresh(c.clock.Now()) {
+	if !c.isCurrent(c.clock.Now()) {
 		return nil, c.notLeader()
 	}
 	return c.state.Evacuated(), nil
@@ -138,22 +138,22 @@
 	for _, z := range before {
 		if !hasZone(zones, z.Zone) {
 			event.ZoneEvacuated.Log(h.log, "zone", z.Zone, "finished", true)
-			h.giveBack(z.Zone)
+			h.noteEvacuationEnd(z.Zone)
 		}
 	}
 	for l := range h.gateways {
-		h.tellEvacuated(l)
+		h.sendEvacuated(l)
 	}
-	h.keepOlder(h.clock.Now())
+	h.updateOlderGateways(h.clock.Now())
 }
 
 // giveBack notes that the servers of a zone get work again. Callers hold the lock.
-func (h *hub) giveBack(zone string) {
+func (h *hub) noteEvacuationEnd(zone string) {
 	now := h.clock.Now()
-	h.givenBack[zone] = now
+	h.evacuationEndedAt[zone] = now
 	for _, s := range h.servers.List(now) {
 		if s.Zone == zone && s.State == registry.Ready {
-			h.unsure[s.ID] = true
+			h.unconfirmed[s.ID] = true
 		}
 	}
 }
@@ -161,13 +161,13 @@
 // sure takes that a server has reported itself. The first report after its zone was given back
 // is news to everybody, whatever it says: until then the server counts as cold. Callers hold the
 // lock.
-func (h *hub) sure(s registry.Server) bool {
-	if !h.unsure[s.ID] {
+func (h *hub) confirmServer(s registry.Server) bool {
+	if !h.unconfirmed[s.ID] {
 		return false
 	}
-	delete(h.unsure, s.ID)
+	delete(h.unconfirmed, s.ID)
 	if s.State == registry.Ready {
-		h.tellNews(s)
+		h.publishUpdate(s)
 	}
 	return true
 }
@@ -180,7 +180,7 @@
 func (h *hub) isEvacuated(zone string) bool { return hasZone(h.evacuated.Zones, zone) }
 
 // tellEvacuated tells a gateway which zones are being evacuated. Callers hold the lock.
-func (h *hub) tellEvacuated(l *wire.Link) {
+func (h *hub) sendEvacuated(l *wire.Link) {
 	if h.evacuated.Number > 0 && l.Speaks() >= wire.KnowsEvacuations {
 		_ = l.Send(&wire.Message{Evacuated: &h.evacuated})
 	}
--- a/control/listing.go
+++ b/control/hub_servers.go
@@ -11,51 +11,51 @@
 
 // group is the servers of a service that do the same work. A gateway works with
 // a part of a large group.
-type group struct{ service, role string }
+type serverGroup struct{ service, role string }
 
-func groupOf(s registry.Server) group { return group{s.Service, s.Role} }
+func groupOf(s registry.Server) serverGroup { return serverGroup{s.Service, s.Role} }
 
 // report takes a server's own report, and passes it on at once if it is new. The
 // other replicas get every report, so that each of them can tell a gateway that
 // starts; those with nothing new go together. It returns whether anybody is there to be
 // told, and an error if the report is not that of the server's newest start.
-func (h *hub) report(s registry.Server) (heard bool, err error) {
+func (h *hub) report(s registry.Server) (reachable bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
-	heard = len(h.peers)+len(h.gateways) > 0
+	reachable = len(h.peers)+len(h.gateways) > 0
 	s = h.servers.Resolve(s)
-	news, err := h.note(now, s)
+	changed, err := h.recordReport(now, s)
 	if err != nil {
-		return heard, err
+		return reachable, err
 	}
-	news = h.sure(s) || news
-	_, known := h.home[s.ID]
+	changed = h.confirmServer(s) || changed
+	_, known := h.localReports[s.ID]
 	if s.State == registry.Ready {
-		h.home[s.ID] = now
+		h.localReports[s.ID] = now
 	} else {
-		delete(h.home, s.ID)
+		delete(h.localReports, s.ID)
 	}
 	switch {
-	case news:
+	case changed:
 		m := &wire.Message{Servers: &wire.Servers{List: []registry.Server{s}}}
 		for l := range h.peers {
 			_ = l.Send(m)
 		}
 	case !known:
-		h.waiting = append(h.waiting, s)
+		h.pendingReports = append(h.pendingReports, s)
 	}
-	return heard, nil
+	return reachable, nil
 }
 
 // take takes what another replica tells of servers.
-func (h *hub) take(l *wire.Link, m *wire.Servers) {
+func (h *hub) mergePeerServers(l *wire.Link, m *wire.Servers) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	for _, s := range m.List {
-		if _, err := h.note(now, s); err == nil { // the replica that the server told has told of a refusal
-			h.sure(s)
+		if _, err := h.recordReport(now, s); err == nil { // the replica that the server told has told of a refusal
+			h.confirmServer(s)
 		}
 	}
 	roster := h.rosters[l]
@@ -71,42 +71,42 @@
 
 // note puts a report into the registry and tells gateways what is new by it. It returns
 // whether anything is, and why the report is not taken if it is not. Callers hold the lock.
-func (h *hub) note(now time.Time, s registry.Server) (isNews bool, err error) {
-	news, err := h.servers.Report(now, s)
-	for _, n := range news {
-		h.changed = true
+func (h *hub) recordReport(now time.Time, s registry.Server) (changed bool, err error) {
+	updates, err := h.servers.Report(now, s)
+	for _, n := range updates {
+		h.serversChanged = true
 		if n.Previous != nil && n.Previous.State == registry.Ready {
-			h.groups[groupOf(*n.Previous)]--
+			h.groupSizes[groupOf(*n.Previous)]--
 		}
 		if n.Server.State == registry.Ready {
-			h.groups[groupOf(n.Server)]++
+			h.groupSizes[groupOf(n.Server)]++
 		}
 		if n.Server.State == registry.Gone {
-			delete(h.home, n.Server.ID)
+			delete(h.localReports, n.Server.ID)
 			delete(h.away, n.Server.ID)
-			delete(h.unsure, n.Server.ID)
+			delete(h.unconfirmed, n.Server.ID)
 		}
-		h.tellNews(n.Server)
+		h.publishUpdate(n.Server)
 	}
-	return len(news) > 0, err
+	return len(updates) > 0, err
 }
 
 // homeWithin is how long after its last report a server counts as one that reports to
 // this replica: servers repeat their reports about each 1.2 s.
-const homeWithin = 1600 * time.Millisecond
+const localReportTTL = 1600 * time.Millisecond
 
 // passOn tells the other replicas which servers have come to this one, and that all
 // that it has told of have reported themselves within homeWithin. It tells no more of
 // those that have not; one that reports again is told of as a new one.
-func (h *hub) passOn(now time.Time) {
-	m := &wire.Servers{List: h.waiting, Alive: true, For: homeWithin}
-	for id, last := range h.home {
-		if now.Sub(last) > homeWithin {
-			delete(h.home, id)
+func (h *hub) forwardReports(now time.Time) {
+	m := &wire.Servers{List: h.pendingReports, Alive: true, For: localReportTTL}
+	for id, last := range h.localReports {
+		if now.Sub(last) > localReportTTL {
+			delete(h.localReports, id)
 			m.Dropped = append(m.Dropped, id)
 		}
 	}
-	h.waiting = nil
+	h.pendingReports = nil
 	if frame, err := wire.Marshal(&wire.Message{Servers: m}); err == nil {
 		for l := range h.peers {
 			_ = l.SendFrame(frame)
@@ -119,7 +119,7 @@
 func (h *hub) allServers(now time.Time) *wire.Servers {
 	m := &wire.Servers{List: h.servers.List(now)}
 	for _, s := range m.List {
-		if _, here := h.home[s.ID]; !here {
+		if _, local := h.localReports[s.ID]; !local {
 			m.Dropped = append(m.Dropped, s.ID)
 		}
 	}
@@ -130,12 +130,12 @@
 // them at once: one may know it from another replica. So is that a later start has come, by
 // the time of that start alone: most of them will not work with it. All else is told at the
 // next tick, together: after an outage servers come by thousands.
-func (h *hub) tellNews(s registry.Server) {
+func (h *hub) publishUpdate(s registry.Server) {
 	if s.State == registry.Ready {
-		h.news[s.ID] = true
+		h.updated[s.ID] = true
 		return
 	}
-	delete(h.news, s.ID)
+	delete(h.updated, s.ID)
 	frame, err := wire.Marshal(&wire.Message{Servers: &wire.Servers{List: []registry.Server{s.Published()}}})
 	if err != nil {
 		return
@@ -147,19 +147,19 @@
 }
 
 // spreadNews tells each gateway what is new of the servers that it works with.
-func (h *hub) spreadNews(now time.Time) {
-	if len(h.news) == 0 {
+func (h *hub) sendUpdates(now time.Time) {
+	if len(h.updated) == 0 {
 		return
 	}
 	var list []candidate
 	for _, c := range h.candidates(now) {
-		if h.news[c.server.ID] {
+		if h.updated[c.server.ID] {
 			list = append(list, c)
 		}
 	}
-	clear(h.news)
+	clear(h.updated)
 	for l, g := range h.gateways {
-		if !g.follows() {
+		if !g.subscribed() {
 			continue
 		}
 		m := &wire.Servers{}
@@ -179,8 +179,8 @@
 // assign notes that a gateway works with a server.
 func (h *hub) assign(g *gatewayState, s registry.Server) {
 	g.servers[s.ID] = s
-	if _, reserved := h.sum[s.ID]; reserved {
-		h.moved[s.ID] = true // the gateway has not heard of that
+	if _, reserved := h.totalLoads[s.ID]; reserved {
+		h.changedLoads[s.ID] = true // the gateway has not heard of that
 	}
 }
 
@@ -196,32 +196,32 @@
 	list := h.servers.List(now)
 	out := make([]candidate, len(list))
 	for i, s := range list {
-		out[i] = candidate{s, subset.KeyOf(s.StableName()), h.groups[groupOf(s)]}
+		out[i] = candidate{s, subset.KeyOf(s.StableName()), h.groupSizes[groupOf(s)]}
 	}
 	return out
 }
 
 // share tells a gateway the servers that it should work with and has not been
 // told of, and forgets those that it should not work with any more.
-func (h *hub) share(l *wire.Link, g *gatewayState, list []candidate) {
-	var news []registry.Server
+func (h *hub) sendSubset(l *wire.Link, g *gatewayState, list []candidate) {
+	var added []registry.Server
 	var dropped []string
 	for _, c := range list {
 		_, works := g.servers[c.server.ID]
-		wanted := c.server.State != registry.Ready || subset.Includes(g.key, c.key, c.size, len(h.gateways))
+		included := c.server.State != registry.Ready || subset.Includes(g.key, c.key, c.size, len(h.gateways))
 		switch {
-		case wanted && !works:
-			news = append(news, c.server.Published())
+		case included && !works:
+			added = append(added, c.server.Published())
 			if c.server.State == registry.Ready {
 				h.assign(g, c.server)
 			}
-		case !wanted && works:
+		case !included && works:
 			delete(g.servers, c.server.ID)
 			dropped = append(dropped, c.server.ID)
 		}
 	}
-	if len(news)+len(dropped) > 0 {
-		_ = l.Send(&wire.Message{Servers: &wire.Servers{List: news, Dropped: dropped}})
+	if len(added)+len(dropped) > 0 {
+		_ = l.Send(&wire.Message{Servers: &wire.Servers{List: added, Dropped: dropped}})
 	}
 }
 
@@ -229,66 +229,66 @@
 // work with. Numbers that have changed by less than one in regroupPart leave the
 // parts as they are.
 const (
-	regroupEvery = 2 * time.Second
-	regroupPart  = 10
+	rebalanceEvery   = 2 * time.Second
+	rebalanceDivisor = 10
 )
 
 // regroup gives gateways other parts of the servers if the groups, or the number
 // of gateways, have grown or shrunk much.
-func (h *hub) regroup(now time.Time) {
-	if now.Sub(h.regroupedAt) < regroupEvery || !h.outgrown() {
+func (h *hub) rebalanceSubsets(now time.Time) {
+	if now.Sub(h.subsetsAt) < rebalanceEvery || !h.subsetsOutdated() {
 		return
 	}
-	h.regroupedAt, h.sharedGateways, h.shared = now, len(h.gateways), maps.Clone(h.groups)
+	h.subsetsAt, h.subsetGateways, h.subsetSizes = now, len(h.gateways), maps.Clone(h.groupSizes)
 	list := h.candidates(now)
 	for l, g := range h.gateways {
-		if g.follows() {
-			h.share(l, g, list)
+		if g.subscribed() {
+			h.sendSubset(l, g, list)
 		}
 	}
 }
 
 // outgrown tells whether the parts that gateways work with were made for other
 // numbers than there are now.
-func (h *hub) outgrown() bool {
-	if differs(h.sharedGateways, len(h.gateways)) {
+func (h *hub) subsetsOutdated() bool {
+	if differsMuch(h.subsetGateways, len(h.gateways)) {
 		return true
 	}
-	for k, n := range h.groups {
-		if differs(h.shared[k], n) {
+	for k, n := range h.groupSizes {
+		if differsMuch(h.subsetSizes[k], n) {
 			return true
 		}
 	}
 	return false
 }
 
-func differs(then, now int) bool { return max(then-now, now-then)*regroupPart > then }
+func differsMuch(before, now int) bool { return max(before-now, now-before)*rebalanceDivisor > before }
 
 // aliveWithin is the age up to which a server's last report counts as news at
 // tellAlive: what another replica vouches for is up to homeWithin old, and passEvery
 // and the way here older.
-const aliveWithin = homeWithin + passEvery + 200*time.Millisecond
+const aliveMaxAge = localReportTTL + forwardEvery + 200*time.Millisecond
 
 // tellAlive tells gateways which of their servers have not reported themselves of
 // late, and how many servers there are.
-func (h *hub) tellAlive(now time.Time) {
+func (h *hub) sendAlive(now time.Time) {
 	expired := h.expire(now)
-	h.regroup(now)
+	h.rebalanceSubsets(now)
 	var sizes []wire.GroupSize
-	for k, n := range h.groups {
+	for k, n := range h.groupSizes {
 		sizes = append(sizes, wire.GroupSize{Service: k.service, Role: k.role, Size: n})
 	}
 	silent := map[string]bool{}
 	for _, s := range h.servers.List(now) {
-		if s.State == registry.Ready && s.Age > aliveWithin {
+		if s.State == registry.Ready && s.Age > aliveMaxAge {
 			silent[s.ID] = true
 		}
 	}
 	for l, g := range h.gateways {
-		if !g.follows() {
+		if !g.subscribed() {
 			continue
 		}
-		m := &wire.Servers{Alive: true, For: aliveWithin, Sizes: sizes}
+		m := &wire.Servers{Alive: true, For: aliveMaxAge, Sizes: sizes}
 		for _, id := range expired {
 			if _, works := g.servers[id]; works {
 				delete(g.servers, id)
@@ -307,13 +307,13 @@
 // expire forgets the servers that have been silent for too long, and returns them.
 func (h *hub) expire(now time.Time) []string {
 	var out []string
-	for _, gone := range h.servers.Expire(now) {
-		h.changed = true
-		if gone.State == registry.Ready {
-			h.groups[groupOf(gone)]--
+	for _, expired := range h.servers.Expire(now) {
+		h.serversChanged = true
+		if expired.State == registry.Ready {
+			h.groupSizes[groupOf(expired)]--
 		}
-		delete(h.unsure, gone.ID)
-		out = append(out, gone.ID)
+		delete(h.unconfirmed, expired.ID)
+		out = append(out, expired.ID)
 	}
 	return out
 }
--- a/control/identity.go
+++ b/control/identity.go
@@ -36,8 +36,8 @@
 		}
 	}
 	id := c.cfg.Name
-	if fresh && !c.mayFound() {
-		id += "~" + suffix()
+	if fresh && !c.mayBootstrap() {
+		id += "~" + randomSuffix()
 	}
 	if c.cfg.Dir == "" {
 		return id, nil
@@ -49,14 +49,14 @@
 // mayFound tells whether a replica with an empty disk founds the group. Where
 // replicas find each other by seeds, the settings of the process say whether
 // this is the first start.
-func (c *Control) mayFound() bool {
+func (c *Control) mayBootstrap() bool {
 	if d := c.cfg.Discovery; d != nil {
 		return d.Bootstrap && slices.Contains(d.Seeds, c.cfg.Name)
 	}
-	return c.founds()
+	return c.bootstrapAgreed()
 }
 
-func suffix() string {
+func randomSuffix() string {
 	var b [4]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -66,7 +66,7 @@
 // at its address under another one has lost its disk. Where replicas are named by
 // the settings tree, a name proves nothing: it may be used at two VMs by mistake,
 // and the one that was first may lead. Callers hold the lock.
-func (c *Control) noteSuccessor(id string) {
+func (c *Control) markReplacedVoters(id string) {
 	if c.cfg.Discovery == nil || c.node == nil || id == baseName(id) {
 		return // the first identity at an address succeeds nobody
 	}
@@ -84,7 +84,7 @@
 // it has its answers, and commit to it before this replica has asked in its turn.
 // Without counting that, the slowest of three founders would come as a stranger
 // to a group that takes it for a voter, and which the next loss would end.
-func (c *Control) founds() bool {
+func (c *Control) bootstrapAgreed() bool {
 	if _, ok := c.cfg.Members[c.cfg.Name]; !ok {
 		return false
 	}
@@ -94,16 +94,16 @@
 			if answered[name] {
 				continue
 			}
-			rev, err := c.askEmpty(addr)
+			commit, err := c.fetchCommitIndex(addr)
 			if err != nil {
 				continue
 			}
-			if rev > emptyRevision {
+			if commit > maxEmptyCommit {
 				return c.allEmpty(answered)
 			}
 			answered[name] = true
 		}
-		wait.For(c.ctx, foundEvery)
+		wait.For(c.ctx, bootstrapRetryEvery)
 	}
 	return true
 }
@@ -114,7 +114,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name := range c.cfg.Members {
-		if !answered[name] && !c.asked[name] {
+		if !answered[name] && !c.askedToFound[name] {
 			return false
 		}
 	}
@@ -122,14 +122,14 @@
 }
 
 const (
-	foundEvery = 100 * time.Millisecond
+	bootstrapRetryEvery = 100 * time.Millisecond
 	// emptyRevision is the log index up to which a replica counts as empty: it
 	// has founded the group and nothing has been committed since.
-	emptyRevision = 1
+	maxEmptyCommit = 1
 )
 
 // askEmpty returns the commit index of another first member.
-func (c *Control) askEmpty(addr string) (uint64, error) {
+func (c *Control) fetchCommitIndex(addr string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 	defer cancel()
 	l, err := c.dialer.Dial(ctx, addr, wire.Options{Token: c.cfg.Token, TLS: c.cfg.TLS, Hello: func() wire.Hello {
--- a/control/limits.go
+++ b/control/limits.go
@@ -15,59 +15,59 @@
 	limitsEvery = 50 * time.Millisecond
 	// limitAgain is the time after which the other replicas are told again that a server goes
 	// on naming its limit, so that an answer which was asked for before does not end it.
-	limitAgain = 400 * time.Millisecond
+	limitRepeatEvery = 400 * time.Millisecond
 	// limitKept is how long the end of a limit is remembered, so that an answer that was held
 	// up does not begin it again, and the observation about a server that is not listed any more.
-	limitKept = 10 * time.Second
+	limitRetention = 10 * time.Second
 )
 
 // limits is what a replica knows of the servers that name a limit of requests a second.
 type limits struct {
-	broker *ratelimit.Broker
-	known  map[string]*knownLimit
-	at     time.Time
+	broker   *ratelimit.Broker
+	servers  map[string]*serverLimit
+	tickedAt time.Time
 	// supply is what gateways were told of the limited servers of each service.
 	supply map[string]ratelimit.Supply
 }
 
 // knownLimit is the limit of one start of a server.
-type knownLimit struct {
+type serverLimit struct {
 	ratelimit.Limit
 	// passedAt is when the other replicas were told, and passed the newest answer that they
 	// were told of.
-	passedAt, passed time.Time
+	forwardedAt, forwardedAnswer time.Time
 	// listedAt is when the server was listed last.
 	listedAt time.Time
 }
 
 func newLimits(now time.Time, self string) limits {
-	return limits{broker: ratelimit.NewBroker(now, self), known: map[string]*knownLimit{}, supply: map[string]ratelimit.Supply{}}
+	return limits{broker: ratelimit.NewBroker(now, self), servers: map[string]*serverLimit{}, supply: map[string]ratelimit.Supply{}}
 }
 
 // takeLimits takes what a gateway tells of limits.
-func (h *hub) takeLimits(l *wire.Link, m *wire.Limits) {
+func (h *hub) handleLimits(l *wire.Link, m *wire.Limits) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.gateways[l]
 	if g == nil {
 		return
 	}
-	h.takeLimitMessage(ratelimit.Requester{Name: g.id}, m)
+	h.handleLimitMessage(ratelimit.Requester{Name: g.id}, m)
 }
 
 // takePeerLimits takes what another replica tells of limits.
-func (h *hub) takePeerLimits(l *wire.Link, m *wire.Limits) {
+func (h *hub) handlePeerLimits(l *wire.Link, m *wire.Limits) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.takeLimitMessage(ratelimit.Requester{Name: baseName(l.Peer.Name), Replica: true}, m)
+	h.handleLimitMessage(ratelimit.Requester{Name: baseName(l.Peer.Name), Replica: true}, m)
 }
 
 // takeLimitMessage takes what a gateway or another replica tells, and issues at once what is due
 // by that. Callers hold the lock.
-func (h *hub) takeLimitMessage(from ratelimit.Requester, m *wire.Limits) {
+func (h *hub) handleLimitMessage(from ratelimit.Requester, m *wire.Limits) {
 	now := h.clock.Now()
 	for _, w := range m.Observations {
-		h.noteLimit(now, w)
+		h.recordObservation(now, w)
 	}
 	if len(m.Asks) > 0 {
 		demand := map[string]ratelimit.Demand{}
@@ -89,20 +89,20 @@
 		h.limits.broker.Release(now, from, ratelimit.Release{Owner: owner, Server: t.Server, Tokens: t.Tokens, TTL: t.For})
 	}
 	if len(m.Asks)+len(m.Tokens)+len(m.Back) > 0 {
-		h.issueLimits(now)
+		h.issueTokens(now)
 	}
 }
 
 // noteLimit takes what a server said in an answer, and tells it on if it changes what is allowed.
 // Callers hold the lock.
-func (h *hub) noteLimit(now time.Time, w wire.LimitObservation) {
-	k := h.limits.known[w.Server]
+func (h *hub) recordObservation(now time.Time, w wire.LimitObservation) {
+	k := h.limits.servers[w.Server]
 	if k == nil {
 		if !w.Named {
 			return
 		}
-		k = &knownLimit{listedAt: now}
-		h.limits.known[w.Server] = k
+		k = &serverLimit{listedAt: now}
+		h.limits.servers[w.Server] = k
 	}
 	observed := ratelimit.Observation{Limited: w.Named, Rate: w.Rate, Sent: now.Add(-w.Sent), Received: now.Add(-w.Heard)}
 	if !k.Observe(now, observed) {
@@ -111,27 +111,27 @@
 	h.setLimit(now, w.Server, k)
 	m := &wire.Message{Limits: &wire.Limits{Observations: []wire.LimitObservation{limitObservation(now, w.Server, k)}}}
 	for l, g := range h.gateways {
-		if g.limitsTold {
+		if g.limitsSent {
 			_ = l.Send(m)
 		}
 	}
-	h.welcomeLimits(now)
-	h.passLimits(now, m, k)
+	h.sendAllLimits(now)
+	h.forwardLimits(now, m, k)
 }
 
 // passLimits tells the other replicas of limits. Callers hold the lock.
-func (h *hub) passLimits(now time.Time, m *wire.Message, passed ...*knownLimit) {
+func (h *hub) forwardLimits(now time.Time, m *wire.Message, forwarded ...*serverLimit) {
 	for l := range h.peers {
 		if l.Speaks() >= wire.KnowsLimits {
 			_ = l.Send(m)
 		}
 	}
-	for _, k := range passed {
-		k.passedAt, k.passed = now, k.Newest().Received
+	for _, k := range forwarded {
+		k.forwardedAt, k.forwardedAnswer = now, k.Newest().Received
 	}
 }
 
-func limitObservation(now time.Time, server string, k *knownLimit) wire.LimitObservation {
+func limitObservation(now time.Time, server string, k *serverLimit) wire.LimitObservation {
 	w := k.Newest()
 	return wire.LimitObservation{Server: server, Named: w.Limited, Rate: w.Rate, Sent: now.Sub(w.Sent), Heard: now.Sub(w.Received)}
 }
@@ -139,14 +139,14 @@
 // limitObservations returns all limits that are known. Callers hold the lock.
 func (h *hub) limitObservations(now time.Time) []wire.LimitObservation {
 	var out []wire.LimitObservation
-	for id, k := range h.limits.known {
+	for id, k := range h.limits.servers {
 		out = append(out, limitObservation(now, id, k))
 	}
 	return out
 }
 
 // setLimit tells the broker what a server takes now. Callers hold the lock.
-func (h *hub) setLimit(now time.Time, id string, k *knownLimit) {
+func (h *hub) setLimit(now time.Time, id string, k *serverLimit) {
 	s, listed := h.servers.Get(id)
 	rate, limited := k.Rate(now)
 	if listed && s.State == registry.Ready {
@@ -162,7 +162,7 @@
 // isLimited tells whether a server names a limit, so that it gets no orders and the others have to
 // do its work. Callers hold the lock.
 func (h *hub) isLimited(now time.Time, id string) bool {
-	k := h.limits.known[id]
+	k := h.limits.servers[id]
 	if k == nil {
 		return false
 	}
@@ -172,69 +172,69 @@
 
 // tellLimits does what is due by time for the servers that name a limit; nothing if there are
 // none. Callers hold the lock.
-func (h *hub) tellLimits(now time.Time) {
-	if now.Sub(h.limits.at) < limitsEvery {
+func (h *hub) tickLimits(now time.Time) {
+	if now.Sub(h.limits.tickedAt) < limitsEvery {
 		return
 	}
-	h.limits.at = now
-	h.limits.broker.SetReplicas(now, h.replicas, h.linkedReplicas(), h.cut)
-	if len(h.limits.known) == 0 {
+	h.limits.tickedAt = now
+	h.limits.broker.SetReplicas(now, h.replicas, h.linkedReplicas(), h.partitioned)
+	if len(h.limits.servers) == 0 {
 		return
 	}
 	h.reviewLimits(now)
-	h.welcomeLimits(now)
+	h.sendAllLimits(now)
 	for name, demand := range h.limits.broker.PeerDemand(now) {
-		if l := h.peerNamed(name); l != nil {
+		if l := h.limitPeer(name); l != nil {
 			_ = l.Send(&wire.Message{Limits: &wire.Limits{Asks: limitAsks(demand)}})
 		}
 	}
-	h.issueLimits(now)
-	h.tellSupply(now)
+	h.issueTokens(now)
+	h.sendSupply(now)
 }
 
 // reviewLimits puts the limits in force as they are now, forgets those that are over, and tells
 // the other replicas of those that go on. Callers hold the lock.
 func (h *hub) reviewLimits(now time.Time) {
-	var again []wire.LimitObservation
-	var passed []*knownLimit
+	var repeated []wire.LimitObservation
+	var forwarded []*serverLimit
 	named := 0
-	for id, k := range h.limits.known {
+	for id, k := range h.limits.servers {
 		h.setLimit(now, id, k)
 		w := k.Newest()
-		if !w.Limited && now.Sub(w.Received) >= limitKept || now.Sub(k.listedAt) >= limitKept {
-			delete(h.limits.known, id)
+		if !w.Limited && now.Sub(w.Received) >= limitRetention || now.Sub(k.listedAt) >= limitRetention {
+			delete(h.limits.servers, id)
 			h.limits.broker.RemoveLimit(id)
 			continue
 		}
 		if w.Limited {
 			named++
 		}
-		if w.Limited && w.Received.After(k.passed) && now.Sub(k.passedAt) >= limitAgain {
-			again, passed = append(again, limitObservation(now, id, k)), append(passed, k)
+		if w.Limited && w.Received.After(k.forwardedAnswer) && now.Sub(k.forwardedAt) >= limitRepeatEvery {
+			repeated, forwarded = append(repeated, limitObservation(now, id, k)), append(forwarded, k)
 		}
 	}
-	if len(again) > 0 {
-		h.passLimits(now, &wire.Message{Limits: &wire.Limits{Observations: again}}, passed...)
+	if len(repeated) > 0 {
+		h.forwardLimits(now, &wire.Message{Limits: &wire.Limits{Observations: repeated}}, forwarded...)
 	}
 	metric.LimitedServers.WithLabelValues(h.name).Set(float64(named))
 }
 
 // welcomeLimits tells the gateways that have begun to share with this replica of all limits.
 // Callers hold the lock.
-func (h *hub) welcomeLimits(now time.Time) {
+func (h *hub) sendAllLimits(now time.Time) {
 	for l, g := range h.gateways {
-		if g.sharing && !g.limitsTold && l.Speaks() >= wire.KnowsLimits {
-			g.limitsTold = true
+		if g.reportsLoads && !g.limitsSent && l.Speaks() >= wire.KnowsLimits {
+			g.limitsSent = true
 			_ = l.Send(&wire.Message{Limits: &wire.Limits{Observations: h.limitObservations(now), Supply: limitSupply(h.limits.supply)}})
 		}
 	}
 }
 
 // issueLimits sends the tokens that are due. Callers hold the lock.
-func (h *hub) issueLimits(now time.Time) {
-	grants, back := h.limits.broker.Issue(now, h.worksWith)
+func (h *hub) issueTokens(now time.Time) {
+	grants, returned := h.limits.broker.Issue(now, h.worksWith)
 	out := map[ratelimit.Requester]*wire.Limits{}
-	to := func(a ratelimit.Requester) *wire.Limits {
+	messageTo := func(a ratelimit.Requester) *wire.Limits {
 		if out[a] == nil {
 			out[a] = &wire.Limits{}
 		}
@@ -242,15 +242,15 @@
 	}
 	for _, g := range grants {
 		t := wire.LimitToken{Server: g.Server, Tokens: g.Tokens, For: g.TTL, Owner: g.Owner, Spare: g.Spare}
-		m := to(g.To)
+		m := messageTo(g.To)
 		m.Tokens = append(m.Tokens, t)
 	}
-	for _, b := range back {
-		m := to(ratelimit.Requester{Name: b.Owner, Replica: true})
+	for _, b := range returned {
+		m := messageTo(ratelimit.Requester{Name: b.Owner, Replica: true})
 		m.Back = append(m.Back, wire.LimitToken{Server: b.Server, Tokens: b.Tokens, For: b.TTL})
 	}
 	for a, m := range out {
-		if l := h.askerLink(a); l != nil {
+		if l := h.requesterLink(a); l != nil {
 			_ = l.Send(&wire.Message{Limits: m})
 		}
 	}
@@ -258,11 +258,11 @@
 
 // askerLink returns the link on which somebody who wants tokens is told; nil if it has ended.
 // Callers hold the lock.
-func (h *hub) askerLink(a ratelimit.Requester) *wire.Link {
+func (h *hub) requesterLink(a ratelimit.Requester) *wire.Link {
 	if a.Replica {
-		return h.peerNamed(a.Name)
+		return h.limitPeer(a.Name)
 	}
-	if g := h.named[a.Name]; g != nil {
+	if g := h.gatewaysByID[a.Name]; g != nil {
 		return g.link
 	}
 	return nil
@@ -270,7 +270,7 @@
 
 // worksWith tells whether a gateway works with a server. Callers hold the lock.
 func (h *hub) worksWith(gateway, server string) bool {
-	g := h.named[gateway]
+	g := h.gatewaysByID[gateway]
 	if g == nil {
 		return false
 	}
@@ -280,7 +280,7 @@
 
 // peerNamed returns the link on which a replica that knows limits is told; nil if there is none.
 // Callers hold the lock.
-func (h *hub) peerNamed(name string) *wire.Link {
+func (h *hub) limitPeer(name string) *wire.Link {
 	for l := range h.peers {
 		if baseName(l.Peer.Name) == name && l.Speaks() >= wire.KnowsLimits {
 			return l
@@ -310,7 +310,7 @@
 
 // tellSupply tells the gateways that share with this replica what the limited servers of each
 // service take, and what waits for that, where it has changed. Callers hold the lock.
-func (h *hub) tellSupply(now time.Time) {
+func (h *hub) sendSupply(now time.Time) {
 	supply, changed := h.limits.broker.Supply(now), map[string]ratelimit.Supply{}
 	for service, s := range supply {
 		if s != h.limits.supply[service] {
@@ -318,7 +318,7 @@
 		}
 	}
 	for service := range h.limits.supply {
-		if _, still := supply[service]; !still {
+		if _, listed := supply[service]; !listed {
 			changed[service] = ratelimit.Supply{}
 		}
 	}
@@ -327,7 +327,7 @@
 		return
 	}
 	for l, g := range h.gateways {
-		if g.limitsTold {
+		if g.limitsSent {
 			_ = l.Send(&wire.Message{Limits: &wire.Limits{Supply: limitSupply(changed)}})
 		}
 	}
--- a/control/links.go
+++ b/control/links.go
@@ -25,23 +25,23 @@
 // dialPeer starts the loop that keeps a link to a replica. Callers hold the
 // lock.
 func (c *Control) dialPeer(name, addr string) {
-	if old := c.out[name]; old != nil {
-		if old.addr == addr {
+	if previous := c.peerLinks[name]; previous != nil {
+		if previous.addr == addr {
 			return
 		}
-		old.stop()
+		previous.stop()
 	}
 	if name == c.cfg.Name {
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	p := &peerLink{addr: addr, stop: cancel}
-	c.out[name] = p
+	c.peerLinks[name] = p
 	c.wg.Go(func() { c.peerLoop(ctx, p) })
 }
 
 // redial is the time between two tries to open a link to another replica.
-const redial = 60 * time.Millisecond
+const redialDelay = 60 * time.Millisecond
 
 func (c *Control) peerLoop(ctx context.Context, p *peerLink) {
 	for ctx.Err() == nil {
@@ -49,33 +49,33 @@
 		if err == nil {
 			c.runPeer(ctx, p, l)
 		}
-		wait.For(ctx, redial)
+		wait.For(ctx, redialDelay)
 	}
 }
 
 // runPeer runs a link that this replica opened.
 func (c *Control) runPeer(ctx context.Context, p *peerLink, l *wire.Link) {
 	c.mu.Lock()
-	ok := c.addReplica(l)
+	ok := c.addReplicaLink(l)
 	if ok {
 		p.link = l
 	}
 	c.mu.Unlock()
 	if !ok {
-		c.refuseReplica(ctx, l)
+		c.holdRefusedLink(ctx, l)
 		return
 	}
-	_ = l.Run(ctx, func(m *wire.Message) { c.learn(l, m) })
-	c.hub.losePeer(l)
+	_ = l.Run(ctx, func(m *wire.Message) { c.handlePeerMessage(l, m) })
+	c.hub.forgetPeer(l)
 	c.mu.Lock()
 	p.link = nil
-	c.removeReplica(l)
+	c.removeReplicaLink(l)
 	c.mu.Unlock()
 }
 
 // sendPacket sends to a replica; callers hold the lock.
 func (c *Control) sendPacket(p consensus.Packet) {
-	if peer := c.out[baseName(p.To)]; peer != nil && peer.link != nil {
+	if peer := c.peerLinks[baseName(p.To)]; peer != nil && peer.link != nil {
 		_ = peer.link.Send(&wire.Message{Raft: &p})
 	}
 }
@@ -88,43 +88,43 @@
 	}
 	if l.Peer.Role == wire.RoleFounder {
 		c.mu.Lock()
-		c.asked[l.Peer.Name] = true
+		c.askedToFound[l.Peer.Name] = true
 		c.mu.Unlock()
 	}
-	below := l.Peer.Role != wire.RoleControl
-	if !below && l.Peer.Name == "" {
+	isDownstream := l.Peer.Role != wire.RoleControl
+	if !isDownstream && l.Peer.Name == "" {
 		event.BadPeer.Log(c.log, "error", "a replica without identity")
 		return
 	}
 	c.mu.Lock()
-	if below {
-		c.down[l] = true
-	} else if !c.addReplica(l) {
+	if isDownstream {
+		c.downstream[l] = true
+	} else if !c.addReplicaLink(l) {
 		c.mu.Unlock()
-		c.refuseReplica(c.ctx, l)
+		c.holdRefusedLink(c.ctx, l)
 		return
 	} else {
-		c.seen[l.Peer.Name]++
-		c.noteSuccessor(l.Peer.Name)
+		c.connected[l.Peer.Name]++
+		c.markReplacedVoters(l.Peer.Name)
 		if c.cfg.Discovery != nil {
-			c.meet([]string{baseName(l.Peer.Name)})
+			c.dialAddresses([]string{baseName(l.Peer.Name)})
 		}
 	}
 	c.mu.Unlock()
-	if !below {
+	if !isDownstream {
 		c.hub.addPeer(l)
 		defer c.hub.removePeer(l)
 	}
-	err := l.Run(c.ctx, func(m *wire.Message) { c.handle(l, m) })
+	err := l.Run(c.ctx, func(m *wire.Message) { c.handleMessage(l, m) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if below {
-		delete(c.down, l)
+	if isDownstream {
+		delete(c.downstream, l)
 	} else {
-		c.removeReplica(l)
+		c.removeReplicaLink(l)
 		// A new link of the same replica may be open already.
-		if c.seen[l.Peer.Name]--; c.seen[l.Peer.Name] <= 0 {
-			delete(c.seen, l.Peer.Name)
+		if c.connected[l.Peer.Name]--; c.connected[l.Peer.Name] <= 0 {
+			delete(c.connected, l.Peer.Name)
 		}
 	}
 	if c.ctx.Err() == nil {
@@ -135,24 +135,24 @@
 // serveGateway runs the link of a gateway.
 func (c *Control) serveGateway(l *wire.Link) {
 	c.mu.Lock()
-	fresh := c.node != nil && c.node.Fresh(c.clock.Now())
+	current := c.node != nil && c.node.Fresh(c.clock.Now())
 	c.mu.Unlock()
-	c.hub.addGateway(l, fresh)
+	c.hub.addGateway(l, current)
 	err := l.Run(c.ctx, func(m *wire.Message) {
-		c.hub.hear(l)
+		c.hub.noteActivity(l)
 		switch {
 		case m.Loads != nil:
 			c.hub.setLoads(l, m.Loads)
 		case m.Use != nil:
-			c.hub.setUse(l, m.Use)
+			c.hub.addUsage(l, m.Use)
 		case m.Limits != nil:
-			c.hub.takeLimits(l, m.Limits)
+			c.hub.handleLimits(l, m.Limits)
 		case m.Servers != nil:
-			c.hub.takeLeaving(m.Servers.List)
+			c.hub.handleLeaving(m.Servers.List)
 		case m.Contents != nil:
-			c.hub.takeContents(m.Contents)
+			c.hub.mergeContents(m.Contents)
 		case m.Routes != nil:
-			c.hub.wantTable(l, m.Routes.Version)
+			c.hub.sendNewerTable(l, m.Routes.Version)
 		}
 	})
 	c.hub.removeGateway(l)
@@ -161,7 +161,7 @@
 	}
 }
 
-func (c *Control) handle(l *wire.Link, m *wire.Message) {
+func (c *Control) handleMessage(l *wire.Link, m *wire.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.node == nil {
@@ -170,30 +170,30 @@
 	now := c.clock.Now()
 	switch {
 	case m.Raft != nil:
-		if err := c.readable(m.Raft); err != nil {
-			c.refusePacket(now, l, err)
+		if err := c.checkReadable(m.Raft); err != nil {
+			c.rejectPacket(now, l, err)
 			return
 		}
 		c.node.Step(now, *m.Raft)
-		c.flush(now)
+		c.processReady(now)
 	case m.Pull != nil:
-		c.tell(now, l, m.Pull.Have)
+		c.sendSettings(now, l, m.Pull.Have)
 	case m.Heartbeat != nil:
 		if m.Heartbeat.Revision < c.state.Revision() {
-			c.tell(now, l, m.Heartbeat.Revision)
+			c.sendSettings(now, l, m.Heartbeat.Revision)
 		}
 	case m.Summary != nil:
-		c.zones[m.Summary.Zone] = m.Summary
+		c.zoneSummaries[m.Summary.Zone] = m.Summary
 	case m.Ordered != nil:
-		c.ordered(m.Ordered)
+		c.handleOrderResult(m.Ordered)
 	case m.Shares != nil:
-		c.lend(now, l, m.Shares)
+		c.lendQuota(now, l, m.Shares)
 	}
 }
 
 // tell sends a peer what it lacks, with this replica's assurance of how current it
 // is.
-func (c *Control) tell(now time.Time, l *wire.Link, have uint64) {
+func (c *Control) sendSettings(now time.Time, l *wire.Link, have uint64) {
 	if m := c.store.Push(have); m != nil {
 		m.Confirmed = c.node.Fresh(now)
 		_ = l.Send(&wire.Message{Settings: m})
@@ -213,33 +213,33 @@
 	for name, member := range c.store.Tree().Fleet.Control {
 		c.dialPeer(name, member.Address)
 	}
-	for l := range c.down {
-		c.tell(now, l, c.store.Revision()-1)
+	for l := range c.downstream {
+		c.sendSettings(now, l, c.store.Revision()-1)
 	}
 }
 
 // beat tells every link below the newest revision.
-func (c *Control) beat(now time.Time) {
-	c.hub.beat()
+func (c *Control) sendHeartbeats(now time.Time) {
+	c.hub.sendHeartbeats()
 	if !c.node.Fresh(now) {
 		// Peers still have to see life on the link.
-		c.toAll(&wire.Message{Heartbeat: &wire.Heartbeat{}})
+		c.sendDownstream(&wire.Message{Heartbeat: &wire.Heartbeat{}})
 	} else {
-		c.toAll(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: c.state.Revision()}})
+		c.sendDownstream(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: c.state.Revision()}})
 	}
-	for _, p := range c.out {
+	for _, p := range c.peerLinks {
 		if p.link != nil {
 			_ = p.link.Send(&wire.Message{Heartbeat: &wire.Heartbeat{}})
 		}
 	}
 }
 
-func (c *Control) toAll(m *wire.Message) {
+func (c *Control) sendDownstream(m *wire.Message) {
 	frame, err := wire.Marshal(m)
 	if err != nil {
 		return
 	}
-	for l := range c.down {
+	for l := range c.downstream {
 		_ = l.SendFrame(frame)
 	}
 }
@@ -247,28 +247,28 @@
 // zoneLink returns the link below that speaks for an availability zone: the
 // one with the lowest name, so that an order takes one way only.
 func (c *Control) zoneLink(zone string) *wire.Link {
-	var best *wire.Link
-	for l := range c.down {
+	var lowest *wire.Link
+	for l := range c.downstream {
 		if l.Peer.Role != wire.RoleEntry || l.Peer.Zone != zone {
 			continue
 		}
-		if best == nil || l.Peer.Name < best.Peer.Name {
-			best = l
+		if lowest == nil || l.Peer.Name < lowest.Peer.Name {
+			lowest = l
 		}
 	}
-	return best
+	return lowest
 }
 
 // floor tells all agents, through one link for each availability zone, the
 // fence of this leader.
-func (c *Control) floor(tree *settings.Tree) {
+func (c *Control) sendFloor(tree *settings.Tree) {
 	m := &wire.Message{Order: &order.Order{Floor: true, Fence: order.Fence{Term: c.node.Term()}}}
-	done := map[string]bool{}
+	sent := map[string]bool{}
 	for _, site := range tree.Fleet.Sites {
-		if done[site.Zone] {
+		if sent[site.Zone] {
 			continue
 		}
-		done[site.Zone] = true
+		sent[site.Zone] = true
 		if l := c.zoneLink(site.Zone); l != nil {
 			_ = l.Send(m)
 		}
--- a/control/older.go
+++ b/control/older.go
@@ -13,14 +13,14 @@
 // only; and in the end that it has the role that it had.
 
 const (
-	noRole    = "kept"
-	keptFor   = 5 * time.Second
-	keepAgain = time.Second
+	excludedRole      = "kept"
+	excludedFor       = 5 * time.Second
+	excludeAgainEvery = time.Second
 )
 
 // keepOlder tells older gateways which servers they should keep away from. Callers hold the
 // lock.
-func (h *hub) keepOlder(now time.Time) {
+func (h *hub) updateOlderGateways(now time.Time) {
 	var list []registry.Server
 	for l, g := range h.gateways {
 		if l.Speaks() >= wire.KnowsEvacuations {
@@ -29,24 +29,24 @@
 		if list == nil {
 			list = h.servers.List(now)
 		}
-		if away := h.keptFrom(now, g, list); len(away) > 0 {
+		if away := h.exclusionUpdates(now, g, list); len(away) > 0 {
 			_ = l.Send(&wire.Message{Servers: &wire.Servers{Away: away}})
 		}
 	}
 }
 
 // keptFrom returns what a gateway is told now of the servers of a list.
-func (h *hub) keptFrom(now time.Time, g *gatewayState, list []registry.Server) []wire.Away {
+func (h *hub) exclusionUpdates(now time.Time, g *gatewayState, list []registry.Server) []wire.Away {
 	var out []wire.Away
 	for _, s := range list {
-		told, kept := g.keptFrom[s.ID]
-		keep := s.State == registry.Ready && (h.isEvacuated(s.Zone) || h.isCold(now, s))
+		sentAt, excluded := g.excluded[s.ID]
+		exclude := s.State == registry.Ready && (h.isEvacuated(s.Zone) || h.isCold(now, s))
 		switch {
-		case keep && (!kept || now.Sub(told) >= keepAgain):
-			g.keptFrom[s.ID] = now
-			out = append(out, wire.Away{Server: s.ID, Role: noRole, For: keptFor})
-		case !keep && kept:
-			delete(g.keptFrom, s.ID)
+		case exclude && (!excluded || now.Sub(sentAt) >= excludeAgainEvery):
+			g.excluded[s.ID] = now
+			out = append(out, wire.Away{Server: s.ID, Role: excludedRole, For: excludedFor})
+		case !exclude && excluded:
+			delete(g.excluded, s.ID)
 			out = append(out, wire.Away{Server: s.ID, Role: s.Role})
 		}
 	}
--- a/control/orders.go
+++ b/control/orders.go
@@ -10,14 +10,14 @@
 
 // orders gives the orders that bring the engines in line with the settings.
 // Only a leader under its lease does. Callers hold the lock.
-func (c *Control) orders(now time.Time) {
+func (c *Control) issueOrders(now time.Time) {
 	tree := c.store.Tree()
 	if tree == nil || !c.node.Lead(now) {
 		return
 	}
-	if now.Sub(c.floorAt) >= floorEvery {
-		c.floorAt = now
-		c.floor(tree)
+	if now.Sub(c.floorSentAt) >= floorSendEvery {
+		c.floorSentAt = now
+		c.sendFloor(tree)
 	}
 	models := map[string]order.Model{}
 	for name, m := range tree.Fleet.Models {
@@ -27,7 +27,7 @@
 	for site := range tree.Fleet.Sites {
 		limits[site] = tree.At(site, "", "").WeightRate
 	}
-	for _, o := range c.planner.Plan(now, c.node.Term(), c.servers(tree), models, limits) {
+	for _, o := range c.planner.Plan(now, c.node.Term(), c.orderServers(tree), models, limits) {
 		p, ok := tree.Server(o.Server)
 		if l := c.zoneLink(p.Zone); ok && l != nil {
 			_ = l.Send(&wire.Message{Order: &o})
@@ -37,12 +37,12 @@
 
 // floorEvery is the time between two tellings of the fence, for agents that
 // have restarted.
-const floorEvery = 2 * time.Second
+const floorSendEvery = 2 * time.Second
 
 // servers joins what the settings want with what the zones report.
-func (c *Control) servers(tree *settings.Tree) []order.Server {
+func (c *Control) orderServers(tree *settings.Tree) []order.Server {
 	has := map[string]wire.ServerState{}
-	for _, z := range c.zones {
+	for _, z := range c.zoneSummaries {
 		for _, s := range z.Servers {
 			has[s.Name] = s
 		}
@@ -61,4 +61,4 @@
 	return out
 }
 
-func (c *Control) ordered(r *order.Result) { c.planner.Complete(*r) }
+func (c *Control) handleOrderResult(r *order.Result) { c.planner.Complete(*r) }
--- a/control/roles.go
+++ b/control/roles.go
@@ -30,8 +30,8 @@
 	orderTimeout = time.Second
 	// leaseMargin is added to the lease: the order of the leader before may
 	// have been on its way.
-	leaseMargin = 700 * time.Millisecond
-	maxReport   = 64 << 10
+	leaseMargin    = 700 * time.Millisecond
+	maxReportBytes = 64 << 10
 	// firstTerm is the term of the first leader of a group.
 	firstTerm = 2
 )
@@ -64,7 +64,7 @@
 		p.ledSince = now
 	}
 	mayOrder := fence <= firstTerm || now.Sub(p.ledSince) >= c.cfg.Roles.Lease+leaseMargin
-	for service, engines := range c.hub.engines(now) {
+	for service, engines := range c.hub.serviceEngines(now) {
 		planner := p.planners[service]
 		if planner == nil {
 			planner = c.newPlanner(fence)
@@ -101,16 +101,16 @@
 // orderRole gives one order. The engine is asked first how many orders it has
 // taken, so that this one has no effect if it is carried out after another.
 func (c *Control) orderRole(pool *backend.Pool, service string, o roles.Change) {
-	s, known := c.hub.get(o.Engine)
-	engine, ok := c.hub.engineOf(service)
+	s, known := c.hub.server(o.Engine)
+	engine, ok := c.hub.engineSpec(service)
 	if !known || !ok {
 		return
 	}
-	status, err := c.giveOrder(pool, s, o)
+	status, err := c.sendRoleOrder(pool, s, o)
 	event.RoleOrdered.Log(c.log, "server", s.StableName(), "role", o.Role, "status", status, "error", err, "prefill", o.Prefill,
 		"decode", o.Decode, "prefill_use", o.PrefillUtilization, "decode_use", o.DecodeUtilization, "want", o.WantPrefill)
 	if status == http.StatusAccepted || errors.Is(err, errNoAnswer) {
-		c.hub.setAway(s.ID, o.Role, engine.RoleSwitch)
+		c.hub.markAway(s.ID, o.Role, engine.RoleSwitch)
 	}
 }
 
@@ -120,7 +120,7 @@
 // errRestarted tells that an engine has started again since it was planned with.
 var errRestarted = errors.New("control: the engine has started again")
 
-func (c *Control) giveOrder(pool *backend.Pool, s registry.Server, o roles.Change) (int, error) {
+func (c *Control) sendRoleOrder(pool *backend.Pool, s registry.Server, o roles.Change) (int, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
 	protocol := c.cfg.Roles.Protocol
@@ -155,13 +155,13 @@
 	if call.ContentType != "" {
 		r.Header.Set("Content-Type", call.ContentType)
 	}
-	a, err := pool.Do(ctx, h, r)
+	resp, err := pool.Do(ctx, h, r)
 	if err != nil {
 		return 0, nil, err
 	}
-	body, err := a.ReadAll(maxReport)
+	body, err := resp.ReadAll(maxReportBytes)
 	if err != nil {
 		return 0, nil, &backend.Error{Sent: true, Cause: err}
 	}
-	return a.Status, body, nil
+	return resp.Status, body, nil
 }
--- a/control/selfreport.go
+++ b/control/selfreport.go
@@ -14,17 +14,17 @@
 
 // takeLeaving takes which servers have said to a gateway, in their answers, that they leave. From
 // then on they are as those whose heartbeats say so.
-func (h *hub) takeLeaving(list []registry.Server) {
+func (h *hub) handleLeaving(list []registry.Server) {
 	for _, s := range list {
 		if s.State == registry.Draining {
-			h.drain(s.ID)
+			h.markDraining(s.ID)
 		}
 	}
 }
 
 // drain takes that a server leaves, and tells gateways and replicas; false if that is known, or the
 // start is not the server's newest.
-func (h *hub) drain(id string) bool {
+func (h *hub) markDraining(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, known := h.servers.Get(id)
@@ -32,10 +32,10 @@
 		return false
 	}
 	s.State = registry.Draining
-	if news, err := h.note(h.clock.Now(), s); err != nil || !news {
+	if changed, err := h.recordReport(h.clock.Now(), s); err != nil || !changed {
 		return false
 	}
-	delete(h.home, id)
+	delete(h.localReports, id)
 	m := &wire.Message{Servers: &wire.Servers{List: []registry.Server{s}}}
 	for l := range h.peers {
 		_ = l.Send(m)
@@ -60,7 +60,7 @@
 }
 
 // ask takes that an engine wants a pause, and forgets those that are over.
-func (p *pausedEngines) ask(now time.Time, id string, d time.Duration) (news bool) {
+func (p *pausedEngines) pause(now time.Time, id string, d time.Duration) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for other, pause := range p.pauses {
@@ -82,10 +82,10 @@
 	pool.Admit = func(r *backend.Request) error { return paused.admit(c.clock.Now(), r.Server) }
 	pool.OnAnswer = func(id string, ago time.Duration, status int, head http.Header) {
 		r := c.cfg.Roles.Protocol.SelfReport(status, head)
-		if r.RetryAfter > 0 && paused.ask(c.clock.Now(), id, r.RetryAfter) {
+		if r.RetryAfter > 0 && paused.pause(c.clock.Now(), id, r.RetryAfter) {
 			c.logReport(id, selfreport.RetryAfter, r.RetryAfter, ago)
 		}
-		if r.Leaving && c.hub.drain(id) {
+		if r.Leaving && c.hub.markDraining(id) {
 			c.logReport(id, selfreport.Leaving, 0, ago)
 		}
 	}
@@ -93,6 +93,6 @@
 }
 
 func (c *Control) logReport(id string, f selfreport.Field, pause, ago time.Duration) {
-	s, _ := c.hub.get(id)
+	s, _ := c.hub.server(id)
 	event.ServerReport.Log(c.log, "server", s.StableName(), "service", s.Service, "field", string(f), "pause_ms", pause.Milliseconds(), "age_ms", ago.Milliseconds())
 }
--- a/control/known.go
+++ b/control/state_files.go
@@ -27,39 +27,39 @@
 
 const (
 	// knownEvery is the least time between two writes of a file.
-	knownEvery = 250 * time.Millisecond
+	stateSaveEvery = 250 * time.Millisecond
 	// lastKnownFor is how long a server counts as there that was only known before
 	// the start: two of the times in which servers repeat their reports.
-	lastKnownFor = 2500 * time.Millisecond
+	restoredServerTTL = 2500 * time.Millisecond
 )
 
 // knownFile is one file beside the log.
-type knownFile struct {
+type stateFile struct {
 	name string
 	// restore takes what the file held, and returns how many entries; false if it is
 	// another message than the file should hold.
 	restore func(now time.Time, m *wire.Message) (int, bool)
 	// unsaved returns what is to be kept, nil if it has not changed; notSaved has it kept
 	// at the next try.
-	unsaved  func(now time.Time) *wire.Message
-	notSaved func()
+	takeUnsaved func(now time.Time) *wire.Message
+	markUnsaved func()
 }
 
 // knownFiles are the files beside the log; none if all is kept in memory.
-func (c *Control) knownFiles() []knownFile {
+func (c *Control) stateFiles() []stateFile {
 	if c.cfg.Dir == "" {
 		return nil
 	}
-	return []knownFile{
-		{"control.servers", c.hub.restoreServers, c.hub.unsaved, c.hub.notSaved},
-		{"control.contents", c.hub.restoreContents, c.hub.unsavedContents, c.hub.contentsNotSaved},
+	return []stateFile{
+		{"control.servers", c.hub.restoreServers, c.hub.takeUnsavedServers, c.hub.markServersUnsaved},
+		{"control.contents", c.hub.restoreContents, c.hub.takeUnsavedContents, c.hub.markContentsUnsaved},
 	}
 }
 
 // loadKnown starts with what was known before.
-func (c *Control) loadKnown() {
-	for _, f := range c.knownFiles() {
-		n, err := c.loadFile(f)
+func (c *Control) loadStateFiles() {
+	for _, f := range c.stateFiles() {
+		n, err := c.loadStateFile(f)
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *Control) loadFile(f knownFile) (int, error) {
+func (c *Control) loadStateFile(f stateFile) (int, error) {
 	path := filepath.Join(c.cfg.Dir, f.name)
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -89,10 +89,10 @@
 
 // keepKnown writes a file when what it holds has changed, until the replica ends. A
 // disk that is full or stalls holds up nothing else.
-func (c *Control) keepKnown(f knownFile) {
+func (c *Control) saveStateFile(f stateFile) {
 	failing := false
-	wait.Each(c.ctx, c.clock, knownEvery, func(now time.Time) {
-		m := f.unsaved(now)
+	wait.Each(c.ctx, c.clock, stateSaveEvery, func(now time.Time) {
+		m := f.takeUnsaved(now)
 		if m == nil {
 			return
 		}
@@ -101,7 +101,7 @@
 			err = spread.WriteSynced(filepath.Join(c.cfg.Dir, f.name), data)
 		}
 		if err != nil {
-			f.notSaved()
+			f.markUnsaved()
 		}
 		if err != nil && !failing {
 			event.KnownFailed.Log(c.log, "step", "write", "file", f.name, "error", fault.From(err))
@@ -115,41 +115,41 @@
 	if m.Servers == nil {
 		return 0, false
 	}
-	h.restore(now, m.Servers)
+	h.restoreServerList(now, m.Servers)
 	return len(m.Servers.List), true
 }
 
 // restore takes what was known before the start. Gateways are told of it when
 // they join, as of all other servers.
-func (h *hub) restore(now time.Time, m *wire.Servers) {
+func (h *hub) restoreServerList(now time.Time, m *wire.Servers) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range m.List {
 		if s.State == registry.Ready {
-			s.Age = max(serverKeep-lastKnownFor, 0)
+			s.Age = max(serverTTL-restoredServerTTL, 0)
 		}
-		_, _ = h.note(now, s) // what was kept of an earlier start is of no use
+		_, _ = h.recordReport(now, s) // what was kept of an earlier start is of no use
 	}
 	for _, a := range m.Away {
 		back := now.Add(a.For)
-		h.away[a.Server] = awayEngine{role: a.Role, back: back, given: back.Add(awayLimit)}
+		h.away[a.Server] = awayEngine{role: a.Role, earliestBack: back, deadline: back.Add(awayGrace)}
 	}
 }
 
 // unsaved returns what is to be kept, if it has changed.
-func (h *hub) unsaved(now time.Time) *wire.Message {
+func (h *hub) takeUnsavedServers(now time.Time) *wire.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.changed {
+	if !h.serversChanged {
 		return nil
 	}
-	h.changed = false
+	h.serversChanged = false
 	return &wire.Message{Servers: &wire.Servers{List: h.servers.List(now), Away: h.awayList(now)}}
 }
 
 // notSaved has what is known kept at the next try.
-func (h *hub) notSaved() {
+func (h *hub) markServersUnsaved() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.changed = true
+	h.serversChanged = true
 }
--- a/control/table.go
+++ b/control/table.go
@@ -30,7 +30,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := c.confirmed(ctx, id, w); err != nil {
+	if err := c.awaitCommit(ctx, id, w); err != nil {
 		return err
 	}
 	event.SettingChanged.Log(c.log, "version", t.Version, "who", "operator")
@@ -43,8 +43,8 @@
 
 // confirmed waits until a proposal has taken effect. An error of code change_outcome_unknown
 // means that it may still.
-func (c *Control) confirmed(ctx context.Context, id string, w chan fleet.Result) error {
-	defer c.forgetWaiter(id, w)
+func (c *Control) awaitCommit(ctx context.Context, id string, w chan fleet.Result) error {
+	defer c.removeWaiter(id, w)
 	select {
 	case <-w:
 		return nil
@@ -57,20 +57,20 @@
 func (c *Control) proposeTable(t *route.Table) (string, chan fleet.Result, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held := c.state.Table(); held != nil && held.Version >= t.Version {
+	if current := c.state.Table(); current != nil && current.Version >= t.Version {
 		return "", nil, true, nil // what is applied here is committed
 	}
 	now := c.clock.Now()
 	if !c.leads(now) {
 		return "", nil, false, c.notLeader()
 	}
-	id, w, err := c.proposeOnce(now, fmt.Sprint("table ", t.Version), fleet.Change{Table: t.Persisted()})
+	id, w, err := c.proposeUnique(now, fmt.Sprint("table ", t.Version), fleet.Change{Table: t.Persisted()})
 	return id, w, false, err
 }
 
 // proposeOnce puts a change into the log under an ID that no other proposal has, and returns
 // what tells that it has taken effect. Callers hold the lock.
-func (c *Control) proposeOnce(now time.Time, what string, change fleet.Change) (string, chan fleet.Result, error) {
+func (c *Control) proposeUnique(now time.Time, what string, change fleet.Change) (string, chan fleet.Result, error) {
 	c.proposals++
 	change.ID = fmt.Sprintf("%s %s %d", what, c.id, c.proposals)
 	data, err := fleet.Encode(change)
@@ -80,10 +80,10 @@
 	w := make(chan fleet.Result, 1)
 	c.waiters[change.ID] = append(c.waiters[change.ID], w)
 	if _, err := c.node.Propose(now, data); err != nil {
-		c.dropWaiter(change.ID, w)
+		c.removeWaiterLocked(change.ID, w)
 		return "", nil, c.notLeader()
 	}
-	c.flush(now)
+	c.processReady(now)
 	return change.ID, w, nil
 }
 
@@ -92,7 +92,7 @@
 func (c *Control) Table() (*route.Table, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fresh(c.clock.Now()) {
+	if !c.isCurrent(c.clock.Now()) {
 		return nil, c.notLeader()
 	}
 	return c.state.Table(), nil
@@ -113,29 +113,29 @@
 // replica is cut off, so that the server tells another one, and an error if another server
 // must have said it. The report of an earlier start counts as taken: that start gets nothing
 // any more.
-func (c *Control) Report(s registry.Server) (heard bool, err error) {
-	heard, err = c.hub.report(s)
+func (c *Control) Report(s registry.Server) (reachable bool, err error) {
+	reachable, err = c.hub.report(s)
 	switch {
 	case errors.Is(err, registry.ErrSuperseded):
-		c.refuseReport("earlier", s.StableName(), s.Address, err)
+		c.logRejectedReport("earlier", s.StableName(), s.Address, err)
 		err = nil
 	case err != nil:
-		c.refuseReport("another", s.StableName(), s.Address, err)
+		c.logRejectedReport("another", s.StableName(), s.Address, err)
 	case s.State != registry.Ready:
 		event.ServerLeaving.Log(c.log, "server", s.StableName(), "service", s.Service, "state", string(s.State))
 	}
-	return heard, err
+	return reachable, err
 }
 
 // RejectReport takes that a report about a server could not be read.
 func (c *Control) RejectReport(name, from string, err error) {
-	c.refuseReport("unreadable", name, from, err)
+	c.logRejectedReport("unreadable", name, from, err)
 }
 
 // refuseReport tells of a report that is not used.
-func (c *Control) refuseReport(reason, name, from string, err error) {
+func (c *Control) logRejectedReport(reason, name, from string, err error) {
 	metric.ReportsRefused.WithLabelValues(reason).Inc()
-	if c.refused.Allow(c.clock.Now(), reason+" "+name) {
+	if c.rejectionLog.Allow(c.clock.Now(), reason+" "+name) {
 		event.ServerReportRefused.Log(c.log, "server", name, "from", from, "error", err)
 	}
 }
@@ -149,14 +149,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	best := ""
-	for _, p := range c.out {
-		if p.link != nil && p.link.Peer.Zone == zone && (best == "" || p.addr < best) {
-			best = p.addr
+	lowest := ""
+	for _, p := range c.peerLinks {
+		if p.link != nil && p.link.Peer.Zone == zone && (lowest == "" || p.addr < lowest) {
+			lowest = p.addr
 		}
 	}
-	return best
+	return lowest
 }
 
 // Servers returns the backend servers that this replica knows.
-func (c *Control) Servers() []registry.Server { return c.hub.list() }
+func (c *Control) Servers() []registry.Server { return c.hub.listServers() }
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -54,11 +54,11 @@
 	if !c.leads(now) {
 		return UpgradeStatus{}, c.notLeader()
 	}
-	return c.upgrade(now), nil
+	return c.upgradeStatusLocked(now), nil
 }
 
 // upgrade looks at the members. Callers hold the lock.
-func (c *Control) upgrade(now time.Time) UpgradeStatus {
+func (c *Control) upgradeStatusLocked(now time.Time) UpgradeStatus {
 	if term := c.node.Term(); term != c.gateTerm {
 		c.gate, c.gateTerm = compat.Gate{}, term
 	}
@@ -70,28 +70,28 @@
 			members[i].Told = *m.Versions
 		}
 	}
-	out.Holds = append([]compat.Blocker{}, c.gate.Check(now, out.Version, c.raises(), members)...)
-	if c.raises().Contains(out.Version + 1) {
+	out.Holds = append([]compat.Blocker{}, c.gate.Check(now, out.Version, c.proposableVersions(), members)...)
+	if c.proposableVersions().Contains(out.Version + 1) {
 		out.Next = out.Version + 1
 	}
 	if since := c.gate.SupportedSince(); out.Next != 0 && !since.IsZero() {
 		day := clock.Day().Add(since.Sub(now)).UTC()
 		out.Since = &day
-		out.Waits = c.gate.CheckSettled(now, c.settling())
+		out.Waits = c.gate.CheckSettled(now, c.settleTime())
 	}
 	return out
 }
 
 // foundingSettle is the settling time of a group that is being founded: until its first
 // members have found each other.
-const foundingSettle = time.Second
+const bootstrapSettleTime = time.Second
 
 // settling is the time for which all members must have told that they read the next version.
 // While the first leader of a group leads that found itself by seeds, there is no older build
 // to go back to. Callers hold the lock.
-func (c *Control) settling() time.Duration {
+func (c *Control) settleTime() time.Duration {
 	if c.cfg.Discovery != nil && c.node.Term() <= firstTerm {
-		return min(c.cfg.UpgradeAfter, foundingSettle)
+		return min(c.cfg.UpgradeAfter, bootstrapSettleTime)
 	}
 	return c.cfg.UpgradeAfter
 }
@@ -100,27 +100,27 @@
 	m := c.node.Status(now).Members
 	var out []UpgradeMember
 	for _, id := range append(slices.Clone(m.Voters), m.Learners...) {
-		one := UpgradeMember{ID: id, Voter: slices.Contains(m.Voters, id)}
+		member := UpgradeMember{ID: id, Voter: slices.Contains(m.Voters, id)}
 		if id == c.id {
 			own := c.versions()
-			one.Leader, one.Versions, one.Build = true, &own, wire.Build()
-		} else if told, ok := c.told(id); ok {
-			versions := told.Range()
-			one.Versions, one.Build = &versions, told.Build
+			member.Leader, member.Versions, member.Build = true, &own, wire.Build()
+		} else if hello, ok := c.helloOf(id); ok {
+			versions := hello.Range()
+			member.Versions, member.Build = &versions, hello.Build
 		}
-		one.Silent = id != c.id && (!c.linked(id) || c.node.Silence(now, id) > silentAfter)
-		out = append(out, one)
+		member.Silent = id != c.id && (!c.hasLink(id) || c.node.Silence(now, id) > silentAfter)
+		out = append(out, member)
 	}
 	return out
 }
 
 // raise proposes the next version once nothing holds it back any more. Callers hold the lock.
-func (c *Control) raise(now time.Time) {
-	c.forgetTold(now)
+func (c *Control) raiseVersionIfReady(now time.Time) {
+	c.forgetHellos(now)
 	if !c.node.Lead(now) {
 		return
 	}
-	u := c.upgrade(now)
+	u := c.upgradeStatusLocked(now)
 	if u.Next == 0 || len(u.Holds)+len(u.Waits) > 0 || u.Since == nil {
 		return
 	}
@@ -137,19 +137,19 @@
 		return id, c.notLeader()
 	}
 	c.gate.RecordProposal(version)
-	c.flush(now)
+	c.processReady(now)
 	return id, nil
 }
 
 // RaiseVersion raises the fleet's version by one, unless something holds it back: Holds say what then.
 // An error of code change_outcome_unknown means that it may still rise.
 func (c *Control) RaiseVersion(ctx context.Context, who string) (UpgradeStatus, error) {
-	u, w, err := c.startRaise()
+	u, w, err := c.proposeNextVersion()
 	if err != nil || w == nil {
 		return u, err
 	}
 	id := fmt.Sprint("version ", u.Next)
-	defer c.forgetWaiter(id, w)
+	defer c.removeWaiter(id, w)
 	t := time.NewTimer(commitTimeout)
 	defer t.Stop()
 	select {
@@ -157,7 +157,7 @@
 		event.SettingChanged.Log(c.log, "version", u.Next, "who", who)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.upgrade(c.clock.Now()), nil
+		return c.upgradeStatusLocked(c.clock.Now()), nil
 	case <-t.C:
 	case <-ctx.Done():
 	case <-c.ctx.Done():
@@ -166,14 +166,14 @@
 }
 
 // startRaise proposes the next version; the channel is nil if something holds it back.
-func (c *Control) startRaise() (UpgradeStatus, chan fleet.Result, error) {
+func (c *Control) proposeNextVersion() (UpgradeStatus, chan fleet.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	if !c.leads(now) {
 		return UpgradeStatus{}, nil, c.notLeader()
 	}
-	u := c.upgrade(now)
+	u := c.upgradeStatusLocked(now)
 	if len(u.Holds) > 0 {
 		return u, nil, nil
 	}
@@ -181,7 +181,7 @@
 	id := fmt.Sprint("version ", u.Next)
 	c.waiters[id] = append(c.waiters[id], w)
 	if _, err := c.proposeVersion(now, u.Next); err != nil {
-		c.dropWaiter(id, w)
+		c.removeWaiterLocked(id, w)
 		return u, nil, err
 	}
 	return u, w, nil
--- a/control/use.go
+++ b/control/usage.go
@@ -10,49 +10,49 @@
 // How long the report of others stands for what they use of the limits.
 const (
 	// gatewayHeardFor is for a gateway: it shows life every 0.4 s.
-	gatewayHeardFor = time.Second
+	gatewayUsageTTL = time.Second
 	// peerHeardFor is for another replica and its gateways, some of the times in
 	// which replicas tell each other. Until then the gateways of both sides of a cut use
 	// the whole of each limit.
-	peerHeardFor = 300 * time.Millisecond
+	peerUsageTTL = 300 * time.Millisecond
 )
 
 // setUse takes what organisations have used at a gateway.
-func (h *hub) setUse(l *wire.Link, u *quota.UsageUpdate) {
+func (h *hub) addUsage(l *wire.Link, u *quota.UsageUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ledger.AddUsage(h.clock.Now(), l, u.Used)
 }
 
 // hear takes that a gateway has said something.
-func (h *hub) hear(l *wire.Link) {
+func (h *hub) noteActivity(l *wire.Link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.gateways[l]; g != nil {
-		g.heard = h.clock.Now()
+		g.lastMessageAt = h.clock.Now()
 	}
 }
 
 // setPeerUse takes what another replica tells of the use of limits.
-func (h *hub) setPeerUse(l *wire.Link, u *quota.UsageUpdate) {
+func (h *hub) applyPeerUsage(l *wire.Link, u *quota.UsageUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
-	h.peerHeard[l] = now
+	h.peerUsageAt[l] = now
 	h.ledger.ApplyPeerUpdate(now, u)
 }
 
 // group returns the number of gateways that are told of each other: those that this
 // replica or another one has just heard. Callers hold the lock.
-func (h *hub) group(now time.Time) int {
+func (h *hub) liveGateways(now time.Time) int {
 	n := 0
 	for _, g := range h.gateways {
-		if g.sharing && now.Sub(g.heard) < gatewayHeardFor {
+		if g.reportsLoads && now.Sub(g.lastMessageAt) < gatewayUsageTTL {
 			n++
 		}
 	}
-	for l, s := range h.others {
-		if now.Sub(h.peerHeard[l]) < peerHeardFor {
+	for l, s := range h.peerLoads {
+		if now.Sub(h.peerUsageAt[l]) < peerUsageTTL {
 			n += s.gateways
 		}
 	}
@@ -61,7 +61,7 @@
 
 // seen returns the number of gateways that have a link to this replica; one that has
 // started anew may have two for a moment. Callers hold the lock.
-func (h *hub) seen() int {
+func (h *hub) linkedGateways() int {
 	names := make(map[string]bool, len(h.gateways))
 	for l := range h.gateways {
 		names[l.Peer.Name] = true
@@ -71,8 +71,8 @@
 
 // tellPeersUse tells the other replicas what organisations have used here. Callers hold
 // the lock.
-func (h *hub) tellPeersUse(now time.Time) {
-	if !h.keyed() {
+func (h *hub) sendUsageToPeers(now time.Time) {
+	if !h.hasOrganisations() {
 		return
 	}
 	u := h.ledger.PeerUpdate(now)
@@ -90,14 +90,14 @@
 
 // tellUse tells the gateways that share with this replica what organisations have used
 // elsewhere. Callers hold the lock.
-func (h *hub) tellUse(now time.Time) {
-	if !h.keyed() {
+func (h *hub) sendUsage(now time.Time) {
+	if !h.hasOrganisations() {
 		return
 	}
-	h.ledger.UpdateShares(now, h.group(now), h.seen(), h.cut)
+	h.ledger.UpdateShares(now, h.liveGateways(now), h.linkedGateways(), h.partitioned)
 	h.ledger.SendGatewayUpdates(now, func(l *wire.Link, u *quota.UsageUpdate) { _ = l.Send(&wire.Message{Use: u}) })
 }
 
 // keyed tells whether there are organisations, so that their use has to be told. Callers
 // hold the lock.
-func (h *hub) keyed() bool { return h.table != nil && h.table.Keyed }
+func (h *hub) hasOrganisations() bool { return h.table != nil && h.table.Keyed }
--- a/control/versions.go
+++ b/control/versions.go
@@ -24,7 +24,7 @@
 
 // raises are the versions of the fleet that this replica proposes: none above the one from which
 // on anything more is kept.
-func (c *Control) raises() compat.Range {
+func (c *Control) proposableVersions() compat.Range {
 	out := c.versions()
 	out.Most = min(out.Most, compat.NewestStored)
 	return out
@@ -32,27 +32,27 @@
 
 // addReplica takes that a link to a replica is open; false if that replica can't read what
 // this one holds. Callers hold the lock.
-func (c *Control) addReplica(l *wire.Link) bool {
-	if !l.Peer.Range().Contains(c.holds) {
-		if c.refused.Allow(c.clock.Now(), "version "+l.Peer.Name) {
-			event.ReplicaApart.Log(c.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Peer.Range().String(), "version", c.holds)
+func (c *Control) addReplicaLink(l *wire.Link) bool {
+	if !l.Peer.Range().Contains(c.requiredVersion) {
+		if c.rejectionLog.Allow(c.clock.Now(), "version "+l.Peer.Name) {
+			event.ReplicaApart.Log(c.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Peer.Range().String(), "version", c.requiredVersion)
 		}
 		return false
 	}
-	c.replicas[l] = true
-	if before, ok := c.lastTold[l.Peer.Name]; ok {
+	c.replicaLinks[l] = true
+	if before, ok := c.lastHello[l.Peer.Name]; ok {
 		c.gate.RangeChanged(before.Range(), l.Peer.Range())
 	}
-	c.lastTold[l.Peer.Name] = l.Peer
+	c.lastHello[l.Peer.Name] = l.Peer
 	return true
 }
 
 // removeReplica takes that a link has ended. Callers hold the lock.
-func (c *Control) removeReplica(l *wire.Link) { delete(c.replicas, l) }
+func (c *Control) removeReplicaLink(l *wire.Link) { delete(c.replicaLinks, l) }
 
 // linked tells whether a link to a replica is open. Callers hold the lock.
-func (c *Control) linked(id string) bool {
-	for l := range c.replicas {
+func (c *Control) hasLink(id string) bool {
+	for l := range c.replicaLinks {
 		if l.Peer.Name == id {
 			return true
 		}
@@ -62,9 +62,9 @@
 
 // told returns what a replica told of its build: of all open links the one that reads least,
 // since one of them may be of a process that has just ended. Callers hold the lock.
-func (c *Control) told(id string) (wire.Hello, bool) {
-	out, ok := c.lastTold[id]
-	for l := range c.replicas {
+func (c *Control) helloOf(id string) (wire.Hello, bool) {
+	out, ok := c.lastHello[id]
+	for l := range c.replicaLinks {
 		if l.Peer.Name == id && l.Peer.Range().Most < out.Range().Most {
 			out = l.Peer
 		}
@@ -75,42 +75,42 @@
 // guard makes the data folder and the links safe for entries that raise the version, before
 // the first of them is written or sent: an older build would pass it over. Callers hold the
 // lock.
-func (c *Control) guard(r consensus.Ready) error {
+func (c *Control) requireVersionOf(r consensus.Ready) error {
 	version := c.state.Version()
 	for i := range r.Entries {
 		if e := &r.Entries[i]; len(e.Data) > 0 {
 			version = max(version, fleet.VersionOf(e.Data))
 		}
 	}
-	return c.guardFrom(version)
+	return c.requireVersion(version)
 }
 
 // guardFrom makes the data folder and the links safe for what needs a version. Callers hold
 // the lock.
-func (c *Control) guardFrom(version int) error {
-	if version > c.holds {
-		c.holds = version
-		c.closeUnfit()
+func (c *Control) requireVersion(version int) error {
+	if version > c.requiredVersion {
+		c.requiredVersion = version
+		c.closeIncompatibleLinks()
 	}
 	if c.disk == nil {
 		return nil
 	}
-	return c.disk.Fence(c.holds) // also after a disk that failed at it is back
+	return c.disk.Fence(c.requiredVersion) // also after a disk that failed at it is back
 }
 
 // closeUnfit ends the links to replicas that don't read what this one holds.
-func (c *Control) closeUnfit() {
-	for l := range c.replicas {
-		if !l.Peer.Range().Contains(c.holds) {
+func (c *Control) closeIncompatibleLinks() {
+	for l := range c.replicaLinks {
+		if !l.Peer.Range().Contains(c.requiredVersion) {
 			l.Close()
-			c.dropPeer(l)
+			c.detachLink(l)
 		}
 	}
 }
 
 // dropPeer has no packet sent on a link any more. Callers hold the lock.
-func (c *Control) dropPeer(l *wire.Link) {
-	for _, p := range c.out {
+func (c *Control) detachLink(l *wire.Link) {
+	for _, p := range c.peerLinks {
 		if p.link == l {
 			p.link = nil
 		}
@@ -121,8 +121,8 @@
 // Callers hold the lock.
 func (c *Control) joinable() []string {
 	var out []string
-	for id := range c.seen {
-		if told, ok := c.told(id); ok && told.Range().Contains(c.holds) {
+	for id := range c.connected {
+		if hello, ok := c.helloOf(id); ok && hello.Range().Contains(c.requiredVersion) {
 			out = append(out, id)
 		}
 	}
@@ -131,22 +131,22 @@
 }
 
 // forgetTold drops what was told by identities that are gone. Callers hold the lock.
-func (c *Control) forgetTold(now time.Time) {
+func (c *Control) forgetHellos(now time.Time) {
 	m := c.node.Status(now).Members
-	for id := range c.lastTold {
-		if !slices.Contains(m.Voters, id) && !slices.Contains(m.Learners, id) && !c.linked(id) {
-			delete(c.lastTold, id)
+	for id := range c.lastHello {
+		if !slices.Contains(m.Voters, id) && !slices.Contains(m.Learners, id) && !c.hasLink(id) {
+			delete(c.lastHello, id)
 		}
 	}
 }
 
 // refuseReplica keeps a link to a replica that is refused open for a while, without a report on
 // it: an older build tries again as soon as one ends.
-func (c *Control) refuseReplica(ctx context.Context, l *wire.Link) {
-	ctx, cancel := context.WithTimeout(ctx, refusedFor)
+func (c *Control) holdRefusedLink(ctx context.Context, l *wire.Link) {
+	ctx, cancel := context.WithTimeout(ctx, refusedLinkTimeout)
 	defer cancel()
 	_ = l.Run(ctx, func(*wire.Message) {})
 }
 
 // refusedFor is longer than the silence that older builds bear.
-const refusedFor = 6 * time.Second
+const refusedLinkTimeout = 6 * time.Second
--- a/control/zones.go
+++ b/control/zones.go
@@ -10,9 +10,9 @@
 
 // tellZones tells the links below which zones have room for which models.
 // Callers hold the lock.
-func (c *Control) tellZones() {
+func (c *Control) sendZones() {
 	tree := c.store.Tree()
-	if tree == nil || len(c.zones) < 2 {
+	if tree == nil || len(c.zoneSummaries) < 2 {
 		return
 	}
 	roles := map[string]string{}
@@ -20,15 +20,15 @@
 		roles[p.Name] = p.Role
 	}
 	out := &wire.Zones{}
-	for _, z := range c.zones {
-		out.Free = append(out.Free, room(z, roles))
+	for _, z := range c.zoneSummaries {
+		out.Free = append(out.Free, freeSlots(z, roles))
 	}
 	sort.Slice(out.Free, func(i, j int) bool { return out.Free[i].Zone < out.Free[j].Zone })
-	c.toAll(&wire.Message{Zones: out})
+	c.sendDownstream(&wire.Message{Zones: out})
 }
 
 // room adds up the free slots of a zone.
-func room(z *wire.Summary, roles map[string]string) wire.ZoneFree {
+func freeSlots(z *wire.Summary, roles map[string]string) wire.ZoneFree {
 	out := wire.ZoneFree{Zone: z.Zone, Prefill: map[string]int{}, Decode: map[string]int{}}
 	for _, s := range z.Servers {
 		if s.Leaving || s.Free <= 0 {
@@ -48,7 +48,7 @@
 // lend answers a relay or an entry that asks for units of customers' limits.
 // Every replica lends: a relay that moves to another replica asks anew, and a
 // loan that is counted twice ends with its lifetime. Callers hold the lock.
-func (c *Control) lend(now time.Time, l *wire.Link, m *wire.Shares) {
+func (c *Control) lendQuota(now time.Time, l *wire.Link, m *wire.Shares) {
 	tree := c.store.Tree()
 	if tree == nil {
 		return
@@ -60,7 +60,7 @@
 		if !ok {
 			continue
 		}
-		out.Grants = append(out.Grants, c.broker.Lease(now, l.Peer.Name, a, limit*cust.ShareOrOne()))
+		out.Grants = append(out.Grants, c.quotaBroker.Lease(now, l.Peer.Name, a, limit*cust.ShareOrOne()))
 	}
 	_ = l.Send(&wire.Message{Lent: out})
 }
