--- a/control/apply.go
+++ b/control/apply.go
@@ -8,8 +8,8 @@
 	"github.com/ledgepin/ledgepin/fleet"
 )
 
-// flush does what the node asks for, in its order: snapshot, disk, network,
-// state. Callers hold the lock.
+// processReady handles everything that the consensus node has ready, in the order that Raft
+// requires: snapshot, disk, network, state machine. Callers hold c.mu.
 func (c *Control) processReady(now time.Time) {
 	for {
 		r := c.node.Take()
@@ -27,7 +27,7 @@
 	}
 }
 
-// sync makes durable what the packets of r promise.
+// persist writes to disk everything that must be durable before the packets of r are sent.
 func (c *Control) persist(r consensus.Ready) error {
 	if r.Snapshot != nil {
 		state, err := fleet.Restore(r.Snapshot.Data)
@@ -79,14 +79,15 @@
 	}
 }
 
-// tellHub passes on what gateways follow. What is evacuated goes before the table: a gateway
-// that gets its first table serves.
+// updateHub passes the state that gateways follow to the hub. The evacuated zones go before
+// the table, since a gateway starts to serve as soon as it has its first table.
 func (c *Control) updateHub(current bool) {
 	c.hub.setEvacuated(c.state.Evacuations(), c.state.Evacuated())
 	c.hub.setTable(c.state.Table(), current)
 }
 
-// apply takes one committed command; false if it can't be read.
+// applyEntry applies one committed command. It returns false if this build can't read the
+// command.
 func (c *Control) applyEntry(e consensus.Entry) bool {
 	res, err := c.state.Apply(e.Data)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return true
 }
 
-// compact takes a snapshot once the log has grown enough.
+// compact takes a snapshot and cuts the log once the log has reached SnapshotEvery entries.
 func (c *Control) compact(index uint64) {
 	if len(c.node.Entries()) < c.cfg.SnapshotEvery {
 		return
--- a/control/change.go
+++ b/control/change.go
@@ -15,34 +15,39 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// Proposal is an operator's wish to change the settings.
+// Proposal is a change of the settings that an operator requests.
 type Proposal struct {
-	// ID names the change; a resent one gets the first answer again.
+	// ID identifies the change. A proposal that is sent again with the same ID returns the
+	// first result.
 	ID string
-	// Base is the revision that Text was made from.
+	// Base is the revision that Text was derived from.
 	Base uint64
-	// Text is the whole new tree in YAML.
+	// Text is the complete new settings tree in YAML.
 	Text []byte
-	Who  string
+	// Who names the operator.
+	Who string
+	// Note is the operator's comment for the history.
 	Note string
-	// DryRun only checks and compares.
+	// DryRun validates and compares the proposal without making the change.
 	DryRun bool
 }
 
-// Outcome is the answer to a proposal.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	fleet.Result
 	// Edits are the values that the proposal changes.
 	Edits []string `json:"edits,omitempty"`
-	// Since are the changes made after the proposal's base, if it lost.
+	// Since are the changes made after the proposal's base, if the proposal conflicts with
+	// them.
 	Since []fleet.Past `json:"since,omitempty"`
 }
 
-// commitTimeout is how long a proposal waits to be committed.
+// commitTimeout is the time that a proposal waits to be committed.
 const commitTimeout = 3 * time.Second
 
-// Change makes a change, or tells why not. An error of code change_outcome_unknown
-// means that it may still be made; the same ID can be sent again.
+// Change makes a change of the settings, or returns the reason why it can't. An error of
+// code change_outcome_unknown means that the change may still be made; it can be sent again
+// with the same ID.
 func (c *Control) Change(ctx context.Context, p Proposal) (Outcome, error) {
 	out, done, w, err := c.propose(p)
 	if err != nil || done {
@@ -68,8 +73,8 @@
 	c.removeWaiterLocked(id, w)
 }
 
-// dropWaiter ends the wait for a proposal; others may wait for the same one. Callers hold the
-// lock.
+// removeWaiterLocked removes one waiter of a proposal; other callers may wait for the same
+// proposal. Callers hold c.mu.
 func (c *Control) removeWaiterLocked(id string, w chan fleet.Result) {
 	c.waiters[id] = slices.DeleteFunc(c.waiters[id], func(o chan fleet.Result) bool { return o == w })
 	if len(c.waiters[id]) == 0 {
@@ -77,7 +82,8 @@
 	}
 }
 
-// propose checks a proposal and puts it into the log.
+// propose validates a proposal and appends it to the log. It returns true if the outcome is
+// known already; otherwise the channel delivers the result.
 func (c *Control) propose(p Proposal) (Outcome, bool, chan fleet.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,14 +124,14 @@
 }
 
 func (c *Control) notLeader() error {
-	detail := "no leader with a live lease is known here"
+	detail := "this replica knows no leader with a valid lease"
 	if c.node != nil && c.node.Leader() != "" {
 		detail = "the leader is " + c.node.Leader()
 	}
 	return fault.New(fault.NotLeader, fault.StepSettings, c.id, detail)
 }
 
-// check parses the new tree and makes the command. Callers hold the lock.
+// buildChange parses the new tree and builds the command for the log. Callers hold c.mu.
 func (c *Control) buildChange(p Proposal) (fleet.Change, []string, error) {
 	tree, err := settings.Parse("settings", p.Text)
 	if err != nil {
@@ -151,7 +157,8 @@
 	return c.outcomeLocked(p, out)
 }
 
-// judgedLocked turns a result into an answer: a lost race shows what changed.
+// outcomeLocked converts a result to the caller's answer. A conflict carries the changes
+// made since the base. Callers hold c.mu.
 func (c *Control) outcomeLocked(p Proposal, out Outcome) (Outcome, error) {
 	if out.OK {
 		event.SettingChanged.Log(c.log, "change", p.ID, "revision", out.Revision, "who", p.Who)
@@ -162,28 +169,29 @@
 	return out, fault.New(fault.Conflict, fault.StepSettings, c.id, out.Detail)
 }
 
-// CurrentSettings is what operators see of the settings.
+// CurrentSettings is the settings document as operators read it.
 type CurrentSettings struct {
 	Revision uint64 `json:"revision"`
 	Text     string `json:"text"`
-	// Current tells that a leader under its lease vouches for it.
+	// Current reports whether a leader under its lease confirms that the revision is the
+	// newest.
 	Current bool `json:"current"`
 }
 
-// leads tells whether this replica leads under its lease. One that was closed doesn't, however
-// long the lease lasts. Callers hold the lock.
+// leads reports whether this replica leads under its lease. A closed replica does not, even
+// if its lease has not expired. Callers hold c.mu.
 func (c *Control) leads(now time.Time) bool {
 	return c.node != nil && c.ctx.Err() == nil && c.node.Lead(now)
 }
 
-// fresh tells whether this replica is sure of the newest: it leads, or is in touch with who
-// does. Callers hold the lock.
+// isCurrent reports whether this replica is sure to have the newest state: it leads, or is
+// connected to the leader. Callers hold c.mu.
 func (c *Control) isCurrent(now time.Time) bool {
 	return c.node != nil && c.ctx.Err() == nil && c.node.Fresh(now)
 }
 
-// Settings returns the newest settings of this replica. Only a leader under
-// its lease, or a replica in touch with one, answers.
+// Settings returns the newest settings of this replica. It fails unless the replica leads
+// under its lease or is connected to such a leader.
 func (c *Control) Settings() (CurrentSettings, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +201,7 @@
 	return CurrentSettings{Revision: c.state.Revision(), Text: string(c.state.Text()), Current: true}, nil
 }
 
-// History returns the changes after a revision.
+// History returns the changes made after a revision.
 func (c *Control) History(after uint64) ([]fleet.Past, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,11 +211,11 @@
 	return slices.Clone(c.state.History(after)), nil
 }
 
-// maxVoters is the number of voters; further replicas stand by as learners.
+// maxVoters is the number of voters; further replicas are learners on standby.
 const maxVoters = 3
 
-// reconcile brings the membership of the log in line with the settings, one
-// step at a time. Callers hold the lock.
+// reconcile brings the membership of the log in line with the settings, one step at a time.
+// Callers hold c.mu.
 func (c *Control) reconcile(now time.Time) {
 	if !c.node.Lead(now) || c.store.Tree() == nil || len(c.store.Tree().Fleet.Control) == 0 {
 		return
@@ -230,9 +238,9 @@
 	return out
 }
 
-// nextStep chooses one step of membership. A voter is removed only while every
-// learner that could take its place has caught up, so that a second loss right
-// after the first finds a whole group.
+// nextStep returns the next membership change, or none. A voter is removed only after every
+// learner that could replace it has caught up, so that the group is complete when a second
+// replica fails right after the first.
 func nextStep(m consensus.Members, want, connected []string, caught func(string) bool) consensus.Change {
 	for _, id := range connected {
 		if slices.Contains(want, baseName(id)) && !slices.Contains(m.Voters, id) && !slices.Contains(m.Learners, id) {
@@ -242,7 +250,7 @@
 	ready := ""
 	for _, id := range m.Learners {
 		if slices.Contains(connected, id) && !caught(id) {
-			return consensus.Change{} // wait for it
+			return consensus.Change{} // wait until it has caught up
 		}
 		if caught(id) && slices.Contains(connected, id) && ready == "" {
 			ready = id
@@ -266,7 +274,7 @@
 	return consensus.Change{}
 }
 
-// hasTwin tells whether another replica of the same name is a member: the one
+// hasOtherIdentity reports whether another replica of the same name is a member. The one
 // with the older identity has lost its disk.
 func hasOtherIdentity(m consensus.Members, id string) bool {
 	otherIdentity := func(s string) bool { return s != id && baseName(s) == baseName(id) }
--- a/control/cold.go
+++ b/control/cold.go
@@ -10,11 +10,11 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// coldEvery is the time between two looks at which servers are cold.
+// coldCheckEvery is the interval at which cold servers are determined.
 const coldCheckEvery = 100 * time.Millisecond
 
-// coldService returns what the table says of the cold servers of a service; false if they bear
-// as much as others. Callers hold the lock.
+// coldService returns the table entry of a service, and whether the service limits the
+// request rate of its cold servers. Callers hold h.mu.
 func (h *hub) coldService(name string) (*route.Service, bool) {
 	if h.table == nil {
 		return nil, false
@@ -23,9 +23,9 @@
 	return s, s != nil && s.ColdRate > 0
 }
 
-// isCold tells whether a server bears fewer requests than usual. Where its availability zone was
-// given back and it has not reported itself since, its caches may have been dropped. Callers
-// hold the lock.
+// isCold reports whether a server accepts fewer requests than usual. Servers of a zone
+// whose evacuation was finished count as cold until they report again, since their caches
+// may have been dropped. Callers hold h.mu.
 func (h *hub) isCold(now time.Time, s registry.Server) bool {
 	service, limited := h.coldService(s.Service)
 	if !limited {
@@ -37,8 +37,8 @@
 	return unconfirmed || reportedAt.Add(s.Cold).After(now)
 }
 
-// tellCold lends this replica's parts of cold servers to the gateways that share with it.
-// Callers hold the lock.
+// lendColdServers leases this replica's share of each cold server to the gateways that
+// report their load here. Callers hold h.mu.
 func (h *hub) lendColdServers(now time.Time) {
 	if now.Sub(h.coldCheckedAt) < coldCheckEvery {
 		return
@@ -74,16 +74,16 @@
 	}
 }
 
-// index returns which of the replicas this one is; below zero if it is none of them. Callers
-// hold the lock.
+// replicaIndex returns the position of this replica in the sorted list of replicas, or a
+// negative number if it is not in the list. Callers hold h.mu.
 func (h *hub) replicaIndex() int {
 	sorted := slices.Clone(h.replicas)
 	slices.Sort(sorted)
 	return slices.Index(sorted, h.name)
 }
 
-// workWith returns the IDs of the gateways that share with this replica and work with a server.
-// Callers hold the lock.
+// gatewaysOf returns the IDs of the gateways that report their load to this replica and
+// work with a server. Callers hold h.mu.
 func (h *hub) gatewaysOf(server string) []string {
 	var out []string
 	for l, g := range h.gateways {
--- a/control/contents.go
+++ b/control/contents.go
@@ -7,21 +7,23 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Gateways tell the replica that they share with under which contents servers have ended,
-// replicas tell each other, and each its gateways. All tell what is new to the other side
-// only, and all of it when a link opens. Replicas keep it beside the log, since a request
-// that ends servers comes again after an outage too.
+// A content is the digest of a request's content. Gateways report the contents that were
+// running when servers ended to the replica that they report their load to; replicas report
+// them to each other and to their gateways. A link gets all of them when it opens and only
+// changes after that. Replicas keep them on disk beside the log, since a request that ends
+// servers may be sent again after an outage.
 
-// suspectAt is the number of endings from which on gateways are told of a content: what
-// has ended one server is what ran there when it ended.
+// suspectEndings is the number of endings from which on gateways are notified of a content.
+// A single ending proves nothing, since it counts for every content that ran on the server
+// at that time.
 const suspectEndings = 2
 
-// contents is what a replica knows of contents under which servers have ended.
+// contentsState holds the contents under which servers have ended.
 type contentsState struct {
 	table *poison.Table
-	// told is the change up to which each gateway and each replica has been told.
+	// sentUpTo is the last change that was sent to each gateway and replica.
 	sentUpTo map[*wire.Link]uint64
-	// kept is the change up to which the disk has them.
+	// savedUpTo is the last change that is on disk.
 	savedUpTo uint64
 }
 
@@ -29,15 +31,15 @@
 	return contentsState{table: poison.NewTable(), sentUpTo: map[*wire.Link]uint64{}}
 }
 
-// takeContents takes what a gateway or another replica tells.
+// mergeContents merges the contents that a gateway or another replica reports.
 func (h *hub) mergeContents(list []poison.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.contents.table.Merge(h.clock.Now(), list)
 }
 
-// tellContents tells the gateways that follow this replica, and the other replicas, what
-// is new to them. Callers hold the lock.
+// sendContents sends what has changed to the other replicas and to the gateways that are
+// subscribed to this one. Callers hold h.mu.
 func (h *hub) sendContents(now time.Time) {
 	for l, g := range h.gateways {
 		if g.subscribed() {
@@ -49,7 +51,8 @@
 	}
 }
 
-// tell tells one side what is new to it, of contents with at least some endings.
+// send sends one peer the changes that it has not received, for contents with at least
+// minEndings endings.
 func (c *contentsState) send(now time.Time, l *wire.Link, minEndings int) {
 	list, change := c.table.Since(now, c.sentUpTo[l], minEndings)
 	c.sentUpTo[l] = change
@@ -58,13 +61,14 @@
 	}
 }
 
-// restoreContents takes what was kept before the start.
+// restoreContents restores the contents that were saved before the process started.
 func (h *hub) restoreContents(_ time.Time, m *wire.Message) (int, bool) {
 	h.mergeContents(m.Contents)
 	return len(m.Contents), m.Contents != nil
 }
 
-// unsavedContents returns all contents if they have changed since they were kept.
+// takeUnsavedContents returns all contents if they have changed since they were last saved,
+// and marks them saved.
 func (h *hub) takeUnsavedContents(now time.Time) *wire.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +82,7 @@
 	return &wire.Message{Contents: list}
 }
 
-// contentsNotSaved has the contents kept at the next try.
+// markContentsUnsaved makes the next attempt save the contents again.
 func (h *hub) markContentsUnsaved() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/control/control.go
+++ b/control/control.go
@@ -29,50 +29,58 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Config is what a control replica needs to know of itself.
+// Config configures a control replica.
 type Config struct {
-	// Name is its name in the settings.
+	// Name is the replica's name in the settings.
 	Name string
+	// Zone is the replica's availability zone.
 	Zone string
-	// Members are the addresses of the first replicas by name, itself included.
+	// Members maps the names of the founding replicas, including this one, to their
+	// addresses.
 	Members map[string]string
-	// Dir is the data folder; empty keeps all in memory, for dev and tests.
-	Dir   string
+	// Dir is the data folder. If it is empty, everything is kept in memory, for development
+	// and tests.
+	Dir string
+	// Token authenticates links between processes.
 	Token string
-	// TLS is for the links that it opens; nil for plain TCP.
+	// TLS is the configuration of links that the replica opens; nil for plain TCP.
 	TLS *tls.Config
+	// Log receives the replica's events.
 	Log *slog.Logger
-	// OpenFile opens the journal's log; nil for a plain file.
+	// OpenFile opens the log file of the journal; nil for a plain file.
 	OpenFile wal.OpenFile
-	// Discovery is set where replicas find each other by seeds; Members is
-	// empty then, and Name is the link address.
+	// Discovery is set if replicas find each other through seeds. Members is empty then,
+	// and Name is the link address.
 	Discovery *Discovery
-	// Roles is how engines that gateways drive get their roles.
+	// Roles configures how engines that gateways drive get their roles.
 	Roles RoleConfig
-	// Quota tells how the use of limits is judged.
+	// Quota bounds how the usage of limits is accounted.
 	Quota quota.Bounds
-	// Cold tells how what cold servers get is judged.
+	// Cold bounds how much work cold servers get.
 	Cold warmup.Bounds
-	// ParseTable reads the document of an operator's table; nil if there are none.
+	// ParseTable parses the document of an operator's table; nil if there are no such
+	// documents.
 	ParseTable func(document []byte) (*route.Table, error)
-	// Zones are the availability zones of the deployment with the region of each; empty if
-	// the process is not told.
+	// Zones maps the availability zones of the deployment to their regions; empty if the
+	// process does not know them.
 	Zones map[string]string
-	// Clock is that of the VM if it is nil.
+	// Clock is the time source; nil for the clock of the VM.
 	Clock *clock.Clock
-	// ElectionMin is the least silence of a leader before an election, and
-	// HeartbeatEvery the time between a leader's heartbeats; the usual if zero.
+	// ElectionMin is the minimum silence of a leader before an election, and HeartbeatEvery
+	// the interval of a leader's heartbeats. Zero selects the default.
 	ElectionMin, HeartbeatEvery time.Duration
-	// UpgradeAfter is the time for which all members must have told that they read the next
-	// version of the fleet before it rises by itself; it does not if it is zero.
+	// UpgradeAfter is how long all members must have reported that they read the next fleet
+	// version before it rises automatically. If it is zero, only an operator raises the
+	// version.
 	UpgradeAfter time.Duration
-	// Versions are those that the replica reads and writes; those of the build if zero.
+	// Versions is the range of versions that the replica reads and writes; zero for that of
+	// the build.
 	Versions compat.Range
 	// SnapshotEvery is the number of entries after which the log is cut.
 	SnapshotEvery int
 }
 
-// Times of the replicated log.
+// Intervals and timeouts of the replicated log.
 const (
 	tickEvery          = 20 * time.Millisecond
 	heartbeatEvery     = 2 * time.Second
@@ -82,11 +90,11 @@
 	reconcileEvery     = 500 * time.Millisecond
 	zonesSendEvery     = 10 * time.Second
 
-	// DefaultSnapshotEvery is the number of entries between snapshots.
+	// DefaultSnapshotEvery is the default number of entries between snapshots.
 	DefaultSnapshotEvery = 1000
 )
 
-// Control is the process.
+// Control is a control replica.
 type Control struct {
 	cfg    Config
 	clock  *clock.Clock
@@ -97,22 +105,22 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// mu serialises steps of the node with their disk writes, so that packets
-	// go out only after what they promise is synced.
+	// mu serialises the steps of the node and their disk writes, so that packets are sent
+	// only after the state that they promise is synced.
 	mu           sync.Mutex
-	node         *consensus.Node // nil until the replica knows who it is
+	node         *consensus.Node // nil until the identity of the replica is known
 	disk         *wal.Journal
 	state        *fleet.State
 	store        spread.Store
 	waiters      map[string][]chan fleet.Result
-	peerLinks    map[string]*peerLink // links to other replicas, by name
+	peerLinks    map[string]*peerLink // links to other replicas by name
 	downstream   map[*wire.Link]bool  // links of relays and entries
-	connected    map[string]int       // links of identities that have dialled in
-	askedToFound map[string]bool      // first members that have asked whether to found
+	connected    map[string]int       // number of links that each identity has opened to this replica
+	askedToFound map[string]bool      // founding members that have asked this one whether the group may be founded
 	hub          *hub
-	// proposals numbers the tables that were proposed here.
+	// proposals counts the proposals made here, for their IDs.
 	proposals int
-	// reviveAt is when a replica whose disk has failed tries it again.
+	// diskRetryAt is when a replica whose disk has failed tries to open it again.
 	diskRetryAt   time.Time
 	discoverAt    time.Time
 	wasLeader     bool
@@ -123,23 +131,25 @@
 	zonesSentAt   time.Time
 	plannedAt     time.Time
 	floorSentAt   time.Time
-	// refused bounds the lines about reports of servers and of replicas that are not used.
+	// rejectionLog limits the log lines about rejected reports, packets and replicas.
 	rejectionLog event.Limiter
 	// gate decides when the fleet's version rises, while this replica leads.
 	gate     compat.Gate
 	gateTerm uint64
-	// replicas are the open links to other replicas, both ways, and lastTold what each
-	// identity told last.
+	// replicaLinks are the open links to other replicas in both directions. lastHello is
+	// the last hello of each identity.
 	replicaLinks map[*wire.Link]bool
 	lastHello    map[string]wire.Hello
-	// holds is the highest version that an entry of the log or the snapshot needs.
+	// requiredVersion is the highest version that an entry of the log or the snapshot
+	// requires of its readers.
 	requiredVersion int
-	// unread tells why the replica has stopped for good: it holds what it can't read.
+	// stopReason is set once the replica has stopped for good, because its data can't be
+	// read by this build.
 	stopReason string
 }
 
-// Lines about refused reports of servers: one a minute for each server and reason, and for no
-// more of them than a large fleet has servers.
+// Limits of the log lines about rejected reports, packets and replicas: one a minute for
+// each subject and reason, for at most as many of them as a large fleet has servers.
 const (
 	rejectionLogEvery   = time.Minute
 	maxRejectionLogKeys = 1000
@@ -175,8 +185,8 @@
 	return c, nil
 }
 
-// boot finds out who the replica is, which may have to wait for others, and
-// then takes part.
+// boot determines the identity of the replica, which may have to wait for other replicas,
+// and then joins the group.
 func (c *Control) boot(restored consensus.Restored, fresh bool) {
 	if err := c.restore(restored, fresh); err != nil {
 		event.JournalFailed.Log(c.log, "error", fault.From(err))
@@ -194,8 +204,8 @@
 	c.tickLoop()
 }
 
-// openDisk reads the journal; it returns none if all is kept in memory. Fresh
-// tells that the replica has no past.
+// openDisk opens and reads the journal. It returns nil if everything is kept in memory.
+// fresh reports whether the replica has no earlier state.
 func (c *Control) openDisk() (j *wal.Journal, r consensus.Restored, fresh bool, err error) {
 	if c.cfg.Dir == "" {
 		return nil, consensus.Restored{}, true, nil
@@ -213,9 +223,9 @@
 	return j, o.Restored, o.New, nil
 }
 
-// restore builds the replica from its disk. A fresh one has the first
-// membership if it founds the group; otherwise it joins as a learner under an
-// identity that no replica had before.
+// restore builds the replica from its disk. A fresh replica starts with the founding
+// membership if it founds the group; otherwise it joins as a learner under an identity that
+// no replica has used before.
 func (c *Control) restore(r consensus.Restored, fresh bool) error {
 	id, err := c.identity(fresh)
 	if err != nil {
@@ -237,8 +247,8 @@
 	return c.rebuild(r)
 }
 
-// rebuild makes the state and the replica from what is on the disk. Callers
-// hold the lock.
+// rebuild builds the state machine and the consensus node from the contents of the disk.
+// Callers hold c.mu.
 func (c *Control) rebuild(r consensus.Restored) error {
 	state, err := fleet.Restore(r.Snapshot.Data)
 	if err != nil {
@@ -260,7 +270,7 @@
 	return nil
 }
 
-// times returns the settings of the replicated log.
+// raftConfig returns the configuration of the consensus node.
 func (c *Control) raftConfig(id string) consensus.Config {
 	minElection := cmp.Or(c.cfg.ElectionMin, electionMin)
 	return consensus.Config{
@@ -268,7 +278,7 @@
 	}
 }
 
-// founders are the first voters.
+// founders returns the first voters.
 func (c *Control) founders() []string {
 	if c.cfg.Discovery != nil {
 		return slices.Clone(c.cfg.Discovery.Seeds)
@@ -276,13 +286,13 @@
 	return slices.Collect(maps.Keys(c.cfg.Members))
 }
 
-// baseName returns the name in the settings of an identity.
+// baseName returns the name in the settings that belongs to an identity.
 func baseName(id string) string {
 	name, _, _ := strings.Cut(id, "~")
 	return name
 }
 
-// Handler serves the links of replicas, relays and entries.
+// Handler serves the links of replicas, relays, entries and gateways.
 func (c *Control) Handler() http.Handler {
 	return wire.Handler(c.log, c.options(), c.serve)
 }
@@ -305,7 +315,7 @@
 	return h
 }
 
-// Close ends the replica.
+// Close stops the replica.
 func (c *Control) Close() {
 	c.cancel()
 	c.mu.Lock()
@@ -354,7 +364,7 @@
 	}
 }
 
-// joinEvery is the time between two steps of discovered membership.
+// discoverEvery is the interval between two steps of discovered membership.
 const discoverEvery = 100 * time.Millisecond
 
 func (c *Control) heartbeatInterval() time.Duration {
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -8,46 +8,45 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Discovery is how replicas find each other where no settings tree names them.
-// A replica is named by its link address then, so that whoever knows the
-// members knows where they are.
+// Discovery configures how replicas find each other where no settings tree names them. The
+// name of a replica is its link address then, so that the list of members is also the list
+// of addresses.
 type Discovery struct {
 	// Seeds are the link addresses of some replicas.
 	Seeds []string
-	// Bootstrap lets a replica with an empty disk found the group together with
-	// the other seeds. It is set only when the whole system starts for the
-	// first time.
+	// Bootstrap allows a replica with an empty disk to found the group together with the
+	// other seeds. It is set only for the very first start of the whole system.
 	Bootstrap bool
 	// Voters is the number of voting replicas that the group grows to.
 	Voters int
 }
 
-// Times of discovered membership.
+// Timeouts of discovered membership.
 const (
-	// lostVoter is the silence after which a voter gives way to a learner that
-	// has caught up. Without such a learner a silent voter stays.
+	// voterLostAfter is the silence after which a voter is replaced by a learner that has
+	// caught up. Without such a learner, a silent voter stays.
 	voterLostAfter = 1500 * time.Millisecond
-	// lostLearner is the silence after which a learner is dropped.
+	// learnerLostAfter is the silence after which a learner is removed.
 	learnerLostAfter = 6 * time.Second
-	// discoveredIdle is the silence after which links are opened anew.
+	// discoveredIdleTimeout is the silence after which a link is reopened.
 	discoveredIdleTimeout    = 1500 * time.Millisecond
 	discoveredHeartbeatEvery = 400 * time.Millisecond
 )
 
-// membership is what decides about a step of discovered membership.
+// membership is the input to a step of discovered membership.
 type membership struct {
 	members consensus.Members
-	// seen are the identities that have a link to the leader.
+	// connected are the identities that have a link to the leader.
 	connected []string
 	voters    int
-	// caught tells whether a learner has the leader's log, silence how long a
-	// member has said nothing.
+	// caught reports whether a learner has caught up with the leader's log; silence returns
+	// the time since a member's last message.
 	caught  func(id string) bool
 	silence func(id string) time.Duration
 }
 
-// step chooses one step of membership. A voter leaves only while a learner
-// that has caught up is there to take its place.
+// step returns the next membership change, or none. A voter is removed only if a learner
+// that has caught up can replace it.
 func (m *membership) step() consensus.Change {
 	for _, id := range m.connected {
 		if !slices.Contains(m.members.Voters, id) && !slices.Contains(m.members.Learners, id) {
@@ -77,8 +76,9 @@
 	return consensus.Change{}
 }
 
-// leaver returns the voter that gives way to a learner: the one that has lost
-// the disk at the learner's address, or else the one that is silent longest.
+// voterToRemove returns the voter that a learner replaces: the one that has lost its disk
+// at the learner's address, or else the one with the longest silence. It returns an empty
+// string if there is none.
 func (m *membership) voterToRemove(ready string) string {
 	longestSilence, candidate := voterLostAfter, ""
 	for _, id := range m.members.Voters {
@@ -92,8 +92,8 @@
 	return candidate
 }
 
-// discover brings the membership in line with who is there. Callers hold the
-// lock.
+// discover brings the membership in line with the replicas that are connected. Callers hold
+// c.mu.
 func (c *Control) discover(now time.Time) {
 	if !c.node.Lead(now) {
 		return
@@ -112,8 +112,9 @@
 	}
 }
 
-// meet opens links to replicas that this one has heard of, once it knows its own
-// identity: a link tells it to the other side. Callers hold the lock.
+// dialAddresses opens links to replicas that this one has learned of. It does nothing until
+// this replica knows its own identity, since a link sends it to the other side. Callers
+// hold c.mu.
 func (c *Control) dialAddresses(addresses []string) {
 	if c.id == "" {
 		return
@@ -125,7 +126,7 @@
 	}
 }
 
-// addresses returns the link addresses of the members. Callers hold the lock.
+// addresses returns the link addresses of the members. Callers hold c.mu.
 func (c *Control) addresses() []string {
 	if c.node == nil {
 		return nil
@@ -140,8 +141,8 @@
 	return out
 }
 
-// membersChanged opens links to new members, closes those to replicas that
-// have left, and tells the processes below. Callers hold the lock.
+// membersChanged opens links to new members, closes those to replicas that have been
+// removed, and updates the gateways and replicas. Callers hold c.mu.
 func (c *Control) membersChanged() {
 	if c.cfg.Discovery == nil {
 		return
@@ -158,7 +159,7 @@
 	c.hub.setReplicas(addresses)
 }
 
-// seenAt tells whether a replica has a link from an address.
+// isConnectedFrom reports whether a replica at an address has a link to this one.
 func (c *Control) isConnectedFrom(address string) bool {
 	for id := range c.connected {
 		if baseName(id) == address {
@@ -168,7 +169,7 @@
 	return false
 }
 
-// SetSeeds takes a new list of seeds.
+// SetSeeds replaces the list of seeds.
 func (c *Control) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +180,7 @@
 	c.dialAddresses(seeds)
 }
 
-// learn takes what another replica says on the link that this one opened.
+// handlePeerMessage handles a message of another replica on a link that this one opened.
 func (c *Control) handlePeerMessage(l *wire.Link, m *wire.Message) {
 	if m.Loads != nil {
 		c.hub.setPeerLoads(l, m.Loads)
--- a/control/disk.go
+++ b/control/disk.go
@@ -10,11 +10,11 @@
 	"github.com/ledgepin/ledgepin/wal"
 )
 
-// reviveEvery is the time between two tries of a disk that has failed.
+// diskRetryEvery is the interval between attempts to reopen a failed disk.
 const diskRetryEvery = 400 * time.Millisecond
 
-// bootDiscovered opens the disk and takes part. A disk that is full or refuses
-// writes at the start is tried again: the replica is of use once it is back.
+// bootDiscovered opens the disk and joins the group. If the disk is full or rejects writes
+// at the start, it is tried again, since the replica can join as soon as the disk works.
 func (c *Control) bootDiscovered() {
 	for c.ctx.Err() == nil {
 		disk, restored, fresh, err := c.openDisk()
@@ -63,7 +63,7 @@
 	c.disk = j
 }
 
-// hubLoop keeps the gateways told; a disk that stalls does not hold it up.
+// hubLoop keeps gateways updated. A disk that stalls does not delay it.
 func (c *Control) hubLoop() {
 	wait.Each(c.ctx, c.clock, loadsEvery, func(now time.Time) {
 		current := false
@@ -75,16 +75,16 @@
 	})
 }
 
-// diskFailed gives up the vote of the replica: what its disk holds is not known
-// any more. Callers hold the lock.
+// handleDiskFailure gives up the vote of the replica, since the contents of its disk are no
+// longer certain. Callers hold c.mu.
 func (c *Control) handleDiskFailure(now time.Time, err error) {
 	event.JournalFailed.Log(c.log, "error", fault.From(err))
 	c.node.Fail()
 	c.diskRetryAt = now.Add(diskRetryEvery)
 }
 
-// revive reads the disk again and, if all of it can be written anew and synced,
-// lets the replica take part with what the disk holds. Callers hold the lock.
+// reopenDisk reads the disk again. If all of it can be rewritten and synced, the replica
+// rejoins the group with what the disk holds. Callers hold c.mu.
 func (c *Control) reopenDisk(now time.Time) {
 	c.diskRetryAt = now.Add(diskRetryEvery)
 	_ = c.disk.Close()
@@ -103,8 +103,8 @@
 	event.JournalBack.Log(c.log, "term", c.node.Term())
 }
 
-// rewrite makes what was read durable: after a refused sync the files may show
-// what the disk does not hold.
+// rewriteDisk writes and syncs again what was read: after a failed sync, the files may show
+// data that the disk does not hold.
 func (c *Control) rewriteDisk(r consensus.Restored) error {
 	return c.disk.Snapshot(r.Snapshot, r.Hard, r.Entries)
 }
--- a/control/dump.go
+++ b/control/dump.go
@@ -7,7 +7,7 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// Tree returns the newest settings of this replica, or nil.
+// Tree returns the newest settings of this replica, or nil if it has none.
 func (c *Control) Tree() *settings.Tree {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,7 +24,7 @@
 	return c.node.Status(c.clock.Now())
 }
 
-// Ready tells whether the replica knows the newest settings.
+// Ready reports whether the replica has the newest settings, and if not, why.
 func (c *Control) Ready() (bool, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,12 +32,12 @@
 		return false, c.stopReason
 	}
 	if !c.isCurrent(c.clock.Now()) {
-		return false, "no leader with a live lease is in reach"
+		return false, "no leader with a valid lease is reachable"
 	}
 	return true, ""
 }
 
-// Dump is the state of a control replica.
+// Dump is the state of a control replica for diagnosis.
 type Dump struct {
 	Name     string           `json:"name"`
 	ID       string           `json:"id"`
@@ -52,7 +52,7 @@
 	Relays    []string              `json:"relays"`
 }
 
-// Dump returns the state of the replica.
+// Dump returns the state of the replica as a Dump.
 func (c *Control) Dump() any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	return d
 }
 
-// Collect brings the gauges of the replica up to date.
+// Collect updates the gauges of the replica.
 func (c *Control) Collect() {
 	st := c.Status()
 	leader := 0.0
--- a/control/engines.go
+++ b/control/engines.go
@@ -13,12 +13,12 @@
 // awayEngine is an engine that is changing its role.
 type awayEngine struct {
 	role string
-	// back is the soonest that it can be back, and given the latest that it is
-	// waited for.
+	// earliestBack is the earliest time at which the engine can be back; at deadline it is
+	// no longer waited for.
 	earliestBack, deadline time.Time
 }
 
-// setAway tells all gateways that an engine changes its role.
+// markAway records that an engine is changing its role, and notifies all gateways.
 func (h *hub) markAway(id, role string, minDuration time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -28,12 +28,12 @@
 	h.sendToGateways(&wire.Message{Servers: &wire.Servers{Away: h.awayList(now)}})
 }
 
-// awayLimit is how long an engine is waited for beyond the least time: its runs
-// come to their end first.
+// awayGrace is how long an engine is waited for beyond the minimum duration of a role
+// change, since its runs finish first.
 const awayGrace = 10 * time.Second
 
-// awayList returns the engines that are away, and forgets those that are back
-// or are not waited for any more. Callers hold the lock.
+// awayList returns the engines that are away. It forgets those that are back or past their
+// deadline. Callers hold h.mu.
 func (h *hub) awayList(now time.Time) []wire.Away {
 	var out []wire.Away
 	for id, a := range h.away {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// engines returns the engines of each service for the planner, with what all
-// gateways have reserved there.
+// serviceEngines returns the engines of each service for the role planner, with the load
+// that all gateways have reserved on them.
 func (h *hub) serviceEngines(now time.Time) map[string][]roles.Engine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,8 +68,8 @@
 	return out
 }
 
-// used returns the share of an engine that its runs fill, by memory or by
-// slots.
+// utilization returns the fraction of an engine that its runs occupy, of its memory or its
+// slots, whichever is larger.
 func (h *hub) utilization(service string, l wire.EngineLoad) float64 {
 	engine, ok := h.engineSpecLocked(service)
 	if !ok {
@@ -80,8 +80,8 @@
 	return max(memory, slots)
 }
 
-// engine returns what the table says of the engines of a service. Callers hold
-// the lock.
+// engineSpecLocked returns what the table specifies for the engines of a service. Callers
+// hold h.mu.
 func (h *hub) engineSpecLocked(service string) (route.Engine, bool) {
 	if h.table == nil {
 		return route.Engine{}, false
@@ -93,14 +93,14 @@
 	return *s.Engine, true
 }
 
-// engineOf returns what the table says of the engines of a service.
+// engineSpec returns what the table specifies for the engines of a service.
 func (h *hub) engineSpec(service string) (route.Engine, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.engineSpecLocked(service)
 }
 
-// get returns a server by the name of its incarnation.
+// server returns a server by the ID of its incarnation.
 func (h *hub) server(id string) (registry.Server, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -14,9 +14,9 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Evacuate has the servers of an availability zone get no new work, or get it again if the
-// evacuation is finished. An order that changes nothing is acknowledged too. An error of code
-// change_outcome_unknown means that it may still take effect; it can be sent again.
+// Evacuate stops new work for the servers of an availability zone, or resumes it if
+// finished is true. An order that changes nothing is acknowledged as well. An error of code
+// change_outcome_unknown means that the order may still take effect; it can be sent again.
 func (c *Control) Evacuate(ctx context.Context, zone string, finished bool) error {
 	if !c.knowsZone(zone) {
 		return fault.New(fault.UnknownZone, fault.StepSettings, "operator", fmt.Sprintf("no availability zone %q", zone))
@@ -40,7 +40,7 @@
 	if !c.leads(now) {
 		return "", nil, c.notLeader()
 	}
-	if err := ctx.Err(); err != nil { // who sent it may have sent the opposite elsewhere since
+	if err := ctx.Err(); err != nil { // the caller may have sent the opposite order to another replica since
 		return "", nil, fault.Wrap(err, fault.ChangeOutcomeUnknown, fault.StepSettings, "operator")
 	}
 	return c.proposeUnique(now, "evacuation of "+zone, fleet.Change{
@@ -48,8 +48,8 @@
 	})
 }
 
-// raiseTo raises the fleet's version to the one that an order of an operator needs, unless a
-// member of control does not read it.
+// raiseVersionTo raises the fleet's version to the one that an operator's order needs,
+// unless a member of control does not read that version.
 func (c *Control) raiseVersionTo(ctx context.Context, version int) error {
 	if c.fleetVersion() >= version {
 		return nil
@@ -76,7 +76,7 @@
 
 func versionBlocked(version int, member string, cause compat.Cause) error {
 	return fault.New(fault.NotReady, fault.StepSettings, member,
-		fmt.Sprintf("the order needs version %d of the fleet, which is held back: %s", version, cause))
+		fmt.Sprintf("the order needs fleet version %d, but the upgrade is blocked: %s", version, cause))
 }
 
 func (c *Control) fleetVersion() int {
@@ -85,8 +85,8 @@
 	return c.state.Version()
 }
 
-// EvacuatedZones returns the availability zones that are being evacuated. Only a replica that is
-// sure of the newest answers.
+// EvacuatedZones returns the availability zones that are being evacuated. It fails if the
+// replica is not sure to have the newest state.
 func (c *Control) EvacuatedZones() ([]fleet.EvacuatedZone, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,8 +96,9 @@
 	return c.state.Evacuated(), nil
 }
 
-// knowsZone tells whether the deployment has an availability zone: by the settings of the
-// process, or else by who has told where it is.
+// knowsZone reports whether the deployment has an availability zone: according to the
+// settings of the process if they list the zones, or else to the zones that gateways and
+// servers have reported.
 func (c *Control) knowsZone(zone string) bool {
 	if zone == "" {
 		return false
@@ -121,7 +122,8 @@
 		slices.ContainsFunc(h.servers.List(h.clock.Now()), func(s registry.Server) bool { return s.Zone == zone })
 }
 
-// setEvacuated takes which zones are being evacuated, and tells the gateways what is new.
+// setEvacuated sets the zones that are being evacuated, and notifies the gateways of a
+// change.
 func (h *hub) setEvacuated(number uint64, zones []fleet.EvacuatedZone) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -147,7 +149,7 @@
 	h.updateOlderGateways(h.clock.Now())
 }
 
-// giveBack notes that the servers of a zone get work again. Callers hold the lock.
+// noteEvacuationEnd records that the servers of a zone get work again. Callers hold h.mu.
 func (h *hub) noteEvacuationEnd(zone string) {
 	now := h.clock.Now()
 	h.evacuationEndedAt[zone] = now
@@ -158,9 +160,9 @@
 	}
 }
 
-// sure takes that a server has reported itself. The first report after its zone was given back
-// is news to everybody, whatever it says: until then the server counts as cold. Callers hold the
-// lock.
+// confirmServer records that a server has reported itself, and returns whether it was
+// unconfirmed. The first report after the evacuation of its zone is published whatever it
+// holds, since the server counts as cold until then. Callers hold h.mu.
 func (h *hub) confirmServer(s registry.Server) bool {
 	if !h.unconfirmed[s.ID] {
 		return false
@@ -176,10 +178,10 @@
 	return slices.ContainsFunc(list, func(z fleet.EvacuatedZone) bool { return z.Zone == zone })
 }
 
-// isEvacuated tells whether a zone gets no new work. Callers hold the lock.
+// isEvacuated reports whether a zone gets no new work. Callers hold h.mu.
 func (h *hub) isEvacuated(zone string) bool { return hasZone(h.evacuated.Zones, zone) }
 
-// tellEvacuated tells a gateway which zones are being evacuated. Callers hold the lock.
+// sendEvacuated sends a gateway the zones that are being evacuated. Callers hold h.mu.
 func (h *hub) sendEvacuated(l *wire.Link) {
 	if h.evacuated.Number > 0 && l.Speaks() >= wire.KnowsEvacuations {
 		_ = l.Send(&wire.Message{Evacuated: &h.evacuated})
--- a/control/hub.go
+++ b/control/hub.go
@@ -16,23 +16,23 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Times of the hub.
+// Intervals and timeouts of the hub.
 const (
-	// serverKeep is how long a server that says nothing stays listed.
+	// serverTTL is how long a server stays listed without a report.
 	serverTTL = 4500 * time.Millisecond
-	// aliveEvery is the time between two tellings of which servers have reported
-	// themselves, which keep those listed that have nothing new to say.
+	// aliveEvery is the interval at which gateways are notified which servers have reported
+	// recently. This keeps servers listed whose state has not changed.
 	aliveEvery = time.Second
 	loadsEvery = 50 * time.Millisecond
-	// passEvery is the time between two tellings to the other replicas of which
-	// servers have reported themselves here.
+	// forwardEvery is the interval at which the other replicas are notified which servers
+	// have reported to this one.
 	forwardEvery = 200 * time.Millisecond
 )
 
-// hub holds the soft state that replicas give to gateways: which backend
-// servers are there, what other gateways have reserved, and the newest routing
-// table. It has a lock of its own, so that a disk that stalls holds up neither
-// the report of a leaving server nor a table that is committed.
+// hub holds the soft state that replicas give to gateways: the backend servers, the load
+// that other gateways have reserved, and the newest routing table. It has a lock of its
+// own, so that a stalled disk delays neither the report of a leaving server nor a committed
+// table.
 type hub struct {
 	clock *clock.Clock
 	log   *slog.Logger // nil in tests
@@ -41,7 +41,7 @@
 	zone     string
 	servers  *registry.Registry
 	gateways map[*wire.Link]*gatewayState
-	// named are the gateways by ID.
+	// gatewaysByID indexes the gateways by gatewayState.id.
 	gatewaysByID map[string]*gatewayState
 	peers        map[*wire.Link]bool // links that other replicas have opened
 	table        *route.Table
@@ -51,103 +51,106 @@
 	aliveAt      time.Time
 	loadsAt      time.Time
 	forwardedAt  time.Time
-	// welcomed counts the links of gateways so far.
+	// linkSeq counts the links that gateways have opened, for their IDs.
 	linkSeq int
-	// joined are gateways that have not been told their part of the servers;
-	// counted tells that all have been told how many gateways there are.
+	// newGateways are gateways that have not received their subset of the servers.
+	// countSent is set once all gateways have received the current number of gateways.
 	newGateways []*wire.Link
 	countSent   bool
-	// home is when the servers that report to this replica have done so last, by name,
-	// and rosters what each other replica tells of its own.
+	// localReports is the time of the last report of each server that reports to this
+	// replica, by server ID. rosters are the servers that report to each other replica.
 	localReports map[string]time.Time
 	rosters      map[*wire.Link]*registry.Roster
-	// waiting are reports that the other replicas get together: of servers that have
-	// come to this replica, and of those that leave.
+	// pendingReports are reports that go to the other replicas in one message: of servers
+	// that have started to report to this replica, and of leaving ones.
 	pendingReports []registry.Server
-	// news are the servers of which gateways have not heard what is new, by name.
+	// updated are the IDs of servers with changes that gateways have not received.
 	updated map[string]bool
-	// groups is the number of servers of each service and role that take
-	// requests; regroupedAt is when gateways got their parts of them, which was
-	// for the sizes in shared and a number of gateways.
+	// groupSizes is the number of ready servers of each service and role. subsetsAt is when
+	// gateways last got their subsets of them, which were computed for subsetSizes and
+	// subsetGateways.
 	groupSizes     map[serverGroup]int
 	subsetSizes    map[serverGroup]int
 	subsetGateways int
 	subsetsAt      time.Time
-	// own is what the gateways of this replica have reserved, and others what each
-	// other replica tells of its own. sum is all of it; moved are the engines whose
-	// sum has changed since the gateways were told.
+	// ownLoads is what the gateways of this replica have reserved, and peerLoads what each
+	// other replica reports about its gateways. totalLoads is the sum of both; changedLoads
+	// are the engines whose total has changed since it was sent to the gateways.
 	ownLoads     loadSummary
 	peerLoads    map[*wire.Link]*loadSummary
 	totalLoads   map[string]wire.EngineLoad
 	changedLoads map[string]bool
-	// toldPeers is what the other replicas were told of the sums of this one;
-	// movedOwn are the engines for which that may have changed.
+	// sentToPeers is what the other replicas have received of ownLoads; changedOwnLoads are
+	// the engines for which that may be outdated.
 	sentToPeers     loadSummary
 	changedOwnLoads map[string]bool
-	// cut tells that this replica has no link to most of the others.
+	// partitioned reports that this replica has no link to the majority of the replicas.
 	partitioned bool
-	// changed tells that servers have changed since they were kept.
+	// serversChanged reports that servers have changed since they were saved.
 	serversChanged bool
-	// peerHeard is when each replica told last what its gateways use.
+	// peerUsageAt is when each replica last reported the usage of its gateways.
 	peerUsageAt map[*wire.Link]time.Time
-	// ledger is what organisations have used of their limits.
+	// ledger accounts what organisations have used of their limits.
 	ledger   *quota.Ledger[*wire.Link]
 	contents contentsState
-	// evacuated are the zones that are being evacuated; its number is zero before the first.
-	// givenBack is when the evacuation of a zone was finished.
+	// evacuated are the zones that are being evacuated; its Number is zero before the first
+	// evacuation. evacuationEndedAt is when the evacuation of a zone was finished.
 	evacuated         wire.Evacuated
 	evacuationEndedAt map[string]time.Time
-	// name is this replica's link address. broker lends its parts of cold servers, within
-	// coldBounds; coldAt is when it looked at them last.
+	// name is this replica's link address. broker leases its shares of cold servers within
+	// coldBounds; coldCheckedAt is when that was last done.
 	name          string
 	broker        *warmup.Broker
 	coldBounds    warmup.Bounds
 	coldCheckedAt time.Time
-	// bounded tells that some service of the table bounds what its cold servers get, unsure
-	// are the servers of zones that were given back and have not reported themselves since.
+	// hasColdLimits reports that some service of the table limits the rate of its cold
+	// servers. unconfirmed are the servers of formerly evacuated zones that have not
+	// reported themselves since.
 	hasColdLimits bool
 	unconfirmed   map[string]bool
-	// limits is about servers that name a limit of requests a second.
+	// limits holds the servers that announce a limit of requests per second.
 	limits limits
-	// read reads the document that a table was made from; nil to go by what the log has.
+	// parseTable parses the document that a table was made from; nil to use the table of
+	// the log.
 	parseTable func(document []byte) (*route.Table, error)
 }
 
-// gatewayState is what the hub knows of one gateway.
+// gatewayState is the hub's state of one gateway.
 type gatewayState struct {
 	link *wire.Link
-	// id names the link: a gateway that starts again knows nothing of what it has sent.
+	// id identifies the link, not the gateway: a restarted gateway has no record of what it
+	// has sent before.
 	id  string
 	key subset.Key
-	// near tells that the gateway is in the replica's availability zone.
+	// sameZone reports that the gateway is in the replica's availability zone.
 	sameZone bool
-	// told is the version of the newest table that the gateway was told of, has that
-	// of the newest one that it was sent.
+	// announcedVersion is the version of the newest table that the gateway was notified of,
+	// tableVersion that of the newest one that it was sent.
 	announcedVersion, tableVersion uint64
 	confirmed                      bool
-	// servers are those that the gateway works with, as it was told of them.
+	// servers are those that the gateway works with, as they were sent to it.
 	servers map[string]registry.Server
-	// sharing tells that the gateway tells this replica what it reserves, which
-	// is own; others is what it was told that the others do. fresh tells that it
-	// began to share and has not been told anything since.
+	// reportsLoads reports that the gateway sends its reservations to this replica; they
+	// are in reserved. sentLoads is what it has received about the reservations of the
+	// other gateways. needsAllLoads is set until it has received them for the first time.
 	reportsLoads, needsAllLoads bool
 	reserved                    map[string]wire.EngineLoad
 	sentLoads                   loadSummary
-	// heard is when it has said something last.
+	// lastMessageAt is the time of the gateway's last message.
 	lastMessageAt time.Time
-	// keptFrom is when a gateway of an older build was told to keep away from a server.
+	// excluded maps servers that a gateway of an older build must not use to the time when
+	// it was last notified of that.
 	excluded map[string]time.Time
-	// queued are the gateway's requests that wait for room.
+	// queued is the number of the gateway's requests that wait for capacity.
 	queued int
-	// limitsTold tells that the gateway was told which servers name limits, and hears what
-	// changes of that.
+	// limitsSent reports that the gateway has received all limits and gets changes of them.
 	limitsSent bool
 }
 
-// follows tells whether the gateway gets its servers and tables from this replica:
-// those of its availability zone, and those that share with it. To the others it tells
-// only what must reach everybody at once, so that a report crosses zones once for each
-// replica and not once for each gateway.
+// subscribed reports whether the gateway gets its servers and tables from this replica.
+// That holds for gateways of the replica's availability zone and for those that report
+// their load to it. Other gateways only get what must reach all of them at once, so that a
+// report crosses zones once for each replica and not once for each gateway.
 func (g *gatewayState) subscribed() bool { return g.sameZone || g.reportsLoads }
 
 func newHub(c *clock.Clock, zone string, bounds quota.Bounds) *hub {
@@ -162,9 +165,9 @@
 	}
 }
 
-// addGateway starts telling a gateway. Its part of the servers goes out at the
-// next tick, together with those of all that have joined until then: they come
-// by hundreds after a loss of power.
+// addGateway adds the link of a gateway. The gateway's subset of the servers is sent at the
+// next tick, together with those of all gateways that have connected until then: hundreds
+// connect at once after a loss of power.
 func (h *hub) addGateway(l *wire.Link, current bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -174,14 +177,14 @@
 	}
 	h.gateways[l], h.gatewaysByID[g.id] = g, g
 	h.newGateways = append(h.newGateways, l)
-	h.contents.send(h.clock.Now(), l, suspectEndings) // before the table, with which it serves
+	h.contents.send(h.clock.Now(), l, suspectEndings) // before the table, since a gateway serves as soon as it has one
 	_ = l.Send(&wire.Message{Servers: &wire.Servers{Away: h.awayList(h.clock.Now())}})
 	h.sendEvacuated(l)
 	h.sendTable(l, g, current)
 	h.countSent = false
 }
 
-// welcome tells the gateways that have joined their parts of the servers.
+// sendSubsets sends the new gateways their subsets of the servers. Callers hold h.mu.
 func (h *hub) sendSubsets(now time.Time) {
 	if len(h.newGateways) == 0 {
 		return
@@ -209,7 +212,7 @@
 	h.countSent = false
 }
 
-// addPeer starts telling a replica that has opened a link.
+// addPeer adds a link that another replica has opened, and sends it the state of this one.
 func (h *hub) addPeer(l *wire.Link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -240,7 +243,8 @@
 	}
 }
 
-// tellReplicas tells all gateways and replicas where the replicas are.
+// setReplicas sets the addresses of the replicas and sends them to all gateways and
+// replicas.
 func (h *hub) setReplicas(addresses []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -248,7 +252,8 @@
 	h.sendReplicas()
 }
 
-// setLeader takes which replica leads, and tells it on if it is news.
+// setLeader sets the leader's address and sends it to all gateways and replicas if it has
+// changed.
 func (h *hub) setLeader(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -267,12 +272,12 @@
 	}
 }
 
-// replicasNow is what this replica tells of itself and the others.
+// replicasMessage returns the message that describes this replica and the others.
 func (h *hub) replicasMessage() *wire.Replicas {
 	return &wire.Replicas{Addresses: h.replicas, Gateways: len(h.gateways), Leader: h.leader, Cut: h.partitioned}
 }
 
-// tick does what is due by time.
+// tick does the periodic work that is due.
 func (h *hub) tick(now time.Time, current bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -308,7 +313,7 @@
 	}
 }
 
-// beat shows life on the links of gateways and replicas.
+// sendHeartbeats keeps the links of gateways and replicas alive.
 func (h *hub) sendHeartbeats() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -319,7 +324,7 @@
 	}
 }
 
-// list returns the servers for the dump.
+// listServers returns all servers, for dumps.
 func (h *hub) listServers() []registry.Server {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/control/hub_servers.go
+++ b/control/hub_servers.go
@@ -9,16 +9,17 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// group is the servers of a service that do the same work. A gateway works with
-// a part of a large group.
+// serverGroup identifies the servers of a service that have the same role. A gateway works
+// with a subset of a large group.
 type serverGroup struct{ service, role string }
 
 func groupOf(s registry.Server) serverGroup { return serverGroup{s.Service, s.Role} }
 
-// report takes a server's own report, and passes it on at once if it is new. The
-// other replicas get every report, so that each of them can tell a gateway that
-// starts; those with nothing new go together. It returns whether anybody is there to be
-// told, and an error if the report is not that of the server's newest start.
+// report handles a server's report about itself, and forwards it at once if it changes
+// anything. The other replicas are notified of every server that reports, so that each of
+// them can list it to a new gateway; unchanged servers are sent together. It returns
+// whether any gateway or replica is connected, and an error if the report is not of the
+// server's newest incarnation.
 func (h *hub) report(s registry.Server) (reachable bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,13 +49,13 @@
 	return reachable, nil
 }
 
-// take takes what another replica tells of servers.
+// mergePeerServers merges the servers that another replica reports.
 func (h *hub) mergePeerServers(l *wire.Link, m *wire.Servers) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	for _, s := range m.List {
-		if _, err := h.recordReport(now, s); err == nil { // the replica that the server told has told of a refusal
+		if _, err := h.recordReport(now, s); err == nil { // the replica that got the server's report has logged a refusal
 			h.confirmServer(s)
 		}
 	}
@@ -69,8 +70,9 @@
 	}
 }
 
-// note puts a report into the registry and tells gateways what is new by it. It returns
-// whether anything is, and why the report is not taken if it is not. Callers hold the lock.
+// recordReport puts a report into the registry and publishes the changes to gateways. It
+// returns whether anything changed, and an error if the report is rejected. Callers hold
+// h.mu.
 func (h *hub) recordReport(now time.Time, s registry.Server) (changed bool, err error) {
 	updates, err := h.servers.Report(now, s)
 	for _, n := range updates {
@@ -91,13 +93,14 @@
 	return len(updates) > 0, err
 }
 
-// homeWithin is how long after its last report a server counts as one that reports to
-// this replica: servers repeat their reports about each 1.2 s.
+// localReportTTL is how long after its last report a server counts as reporting to this
+// replica. Servers repeat their reports about every 1.2 s.
 const localReportTTL = 1600 * time.Millisecond
 
-// passOn tells the other replicas which servers have come to this one, and that all
-// that it has told of have reported themselves within homeWithin. It tells no more of
-// those that have not; one that reports again is told of as a new one.
+// forwardReports notifies the other replicas of the servers that have started to report to
+// this one, and that all servers forwarded so far have reported within localReportTTL.
+// Servers that have not are dropped from that list; one that reports again is forwarded
+// like a new one.
 func (h *hub) forwardReports(now time.Time) {
 	m := &wire.Servers{List: h.pendingReports, Alive: true, For: localReportTTL}
 	for id, last := range h.localReports {
@@ -114,8 +117,9 @@
 	}
 }
 
-// allServers is what a replica is told that has opened a link: all servers, and that
-// this one goes on to tell of those that report to it.
+// allServers returns the servers for a replica that has opened a link. Those that do not
+// report to this replica are listed as dropped, so that only the others count as reporting
+// here.
 func (h *hub) allServers(now time.Time) *wire.Servers {
 	m := &wire.Servers{List: h.servers.List(now)}
 	for _, s := range m.List {
@@ -126,10 +130,11 @@
 	return m
 }
 
-// tellNews tells the gateways what is new of a server. That it leaves is told to all of
-// them at once: one may know it from another replica. So is that a later start has come, by
-// the time of that start alone: most of them will not work with it. All else is told at the
-// next tick, together: after an outage servers come by thousands.
+// publishUpdate sends gateways the change of a server. A leaving server is sent to all of
+// them at once, since a gateway may have got it from another replica. So is the start of a
+// later incarnation, reduced to its start time, since most gateways will not work with it.
+// All other changes go out together at the next tick: after an outage, servers report by
+// thousands.
 func (h *hub) publishUpdate(s registry.Server) {
 	if s.State == registry.Ready {
 		h.updated[s.ID] = true
@@ -146,7 +151,7 @@
 	}
 }
 
-// spreadNews tells each gateway what is new of the servers that it works with.
+// sendUpdates sends each gateway the changes of the servers that it works with.
 func (h *hub) sendUpdates(now time.Time) {
 	if len(h.updated) == 0 {
 		return
@@ -176,11 +181,11 @@
 	}
 }
 
-// assign notes that a gateway works with a server.
+// assign records that a gateway works with a server.
 func (h *hub) assign(g *gatewayState, s registry.Server) {
 	g.servers[s.ID] = s
 	if _, reserved := h.totalLoads[s.ID]; reserved {
-		h.changedLoads[s.ID] = true // the gateway has not heard of that
+		h.changedLoads[s.ID] = true // the gateway has not received that load
 	}
 }
 
@@ -191,7 +196,8 @@
 	size   int
 }
 
-// candidates returns all servers with what decides who works with them.
+// candidates returns all servers with the data that determines which gateways work with
+// them.
 func (h *hub) candidates(now time.Time) []candidate {
 	list := h.servers.List(now)
 	out := make([]candidate, len(list))
@@ -201,8 +207,8 @@
 	return out
 }
 
-// share tells a gateway the servers that it should work with and has not been
-// told of, and forgets those that it should not work with any more.
+// sendSubset sends a gateway the servers of its subset that it has not received, and drops
+// those that have left its subset.
 func (h *hub) sendSubset(l *wire.Link, g *gatewayState, list []candidate) {
 	var added []registry.Server
 	var dropped []string
@@ -225,16 +231,16 @@
 	}
 }
 
-// regroupEvery is the least time between two changes of the parts that gateways
-// work with. Numbers that have changed by less than one in regroupPart leave the
-// parts as they are.
+// rebalanceEvery is the minimum interval between two changes of the subsets. Changes of
+// less than 1/rebalanceDivisor in the numbers of servers and gateways leave the subsets as
+// they are.
 const (
 	rebalanceEvery   = 2 * time.Second
 	rebalanceDivisor = 10
 )
 
-// regroup gives gateways other parts of the servers if the groups, or the number
-// of gateways, have grown or shrunk much.
+// rebalanceSubsets assigns new subsets of the servers to gateways if the size of a group or
+// the number of gateways has changed much.
 func (h *hub) rebalanceSubsets(now time.Time) {
 	if now.Sub(h.subsetsAt) < rebalanceEvery || !h.subsetsOutdated() {
 		return
@@ -248,8 +254,8 @@
 	}
 }
 
-// outgrown tells whether the parts that gateways work with were made for other
-// numbers than there are now.
+// subsetsOutdated reports whether the numbers of servers or gateways differ much from those
+// that the subsets were computed for.
 func (h *hub) subsetsOutdated() bool {
 	if differsMuch(h.subsetGateways, len(h.gateways)) {
 		return true
@@ -264,13 +270,13 @@
 
 func differsMuch(before, now int) bool { return max(before-now, now-before)*rebalanceDivisor > before }
 
-// aliveWithin is the age up to which a server's last report counts as news at
-// tellAlive: what another replica vouches for is up to homeWithin old, and passEvery
-// and the way here older.
+// aliveMaxAge is the age up to which a server's last report counts as recent in sendAlive.
+// A report that another replica confirms is up to localReportTTL old; forwardEvery and
+// the transfer add to that.
 const aliveMaxAge = localReportTTL + forwardEvery + 200*time.Millisecond
 
-// tellAlive tells gateways which of their servers have not reported themselves of
-// late, and how many servers there are.
+// sendAlive notifies gateways which of their servers have not reported recently, and how
+// many servers there are.
 func (h *hub) sendAlive(now time.Time) {
 	expired := h.expire(now)
 	h.rebalanceSubsets(now)
@@ -304,7 +310,7 @@
 	}
 }
 
-// expire forgets the servers that have been silent for too long, and returns them.
+// expire removes the servers that have not reported for serverTTL, and returns their IDs.
 func (h *hub) expire(now time.Time) []string {
 	var out []string
 	for _, expired := range h.servers.Expire(now) {
--- a/control/hub_table.go
+++ b/control/hub_table.go
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// setTable takes a committed table.
+// setTable puts a committed table in force and sends it to the gateways.
 func (h *hub) setTable(t *route.Table, current bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,8 +40,9 @@
 	}
 }
 
-// whole returns a table as the document has it that it was made from: the log keeps only what
-// builds of the base version read.
+// fullTable returns the table that the document of a logged table describes, since the log
+// keeps only what builds of the base version read. It returns the logged table if the
+// document can't be read.
 func (h *hub) fullTable(kept *route.Table) route.Table {
 	if h.parseTable == nil || len(kept.Source) == 0 {
 		return *kept
@@ -54,7 +55,8 @@
 	return *parsed
 }
 
-// wantTable takes that a gateway has a table of a version and asks for a newer one.
+// sendNewerTable sends the table to a gateway that has asked for one newer than the version
+// that it has.
 func (h *hub) sendNewerTable(l *wire.Link, have uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,8 +68,8 @@
 	_ = l.Send(&wire.Message{Routes: &wire.Routes{Table: h.table, Version: h.table.Version, Confirmed: g.confirmed}})
 }
 
-// tellTable sends the table to a gateway that lacks it, or that has not heard
-// yet that it is the newest. Callers hold the lock.
+// sendTable sends the table to a gateway that lacks it, or that has not received the
+// confirmation that it is the newest. Callers hold h.mu.
 func (h *hub) sendTable(l *wire.Link, g *gatewayState, current bool) {
 	if h.table == nil || g.announcedVersion == h.table.Version && (g.confirmed || !current) {
 		return
--- a/control/identity.go
+++ b/control/identity.go
@@ -18,12 +18,12 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// identity returns the name that this replica has in the log.
+// identity returns the identity of this replica in the log.
 //
-// A replica that lost its disk has forgotten its votes, so it must not take
-// part under its old identity. One that starts with an empty disk founds the
-// group under its plain name only if every other first member says that it is
-// empty too; otherwise it gets a new identity and joins as a learner.
+// A replica that has lost its disk has lost the record of its votes, so it must not take
+// part under its old identity. A replica that starts with an empty disk founds the group
+// under its plain name only if every other founding member reports that it is empty too.
+// Otherwise it gets a new identity and joins as a learner.
 func (c *Control) identity(fresh bool) (string, error) {
 	path := filepath.Join(c.cfg.Dir, "control.identity")
 	if c.cfg.Dir != "" {
@@ -46,8 +46,8 @@
 	return id, fault.Wrap(err, fault.JournalFailed, fault.StepJournal, path)
 }
 
-// mayFound tells whether a replica with an empty disk founds the group. Where
-// replicas find each other by seeds, the settings of the process say whether
+// mayBootstrap reports whether a replica with an empty disk founds the group. Where
+// replicas find each other through seeds, the settings of the process determine whether
 // this is the first start.
 func (c *Control) mayBootstrap() bool {
 	if d := c.cfg.Discovery; d != nil {
@@ -62,13 +62,13 @@
 	return hex.EncodeToString(b[:])
 }
 
-// noteSuccessor takes that a replica runs under an identity: whoever was a voter
-// at its address under another one has lost its disk. Where replicas are named by
-// the settings tree, a name proves nothing: it may be used at two VMs by mistake,
-// and the one that was first may lead. Callers hold the lock.
+// markReplacedVoters marks voters as lost that have another identity at the address of id,
+// since they have lost their disk. Where the settings tree names the replicas, the name
+// proves nothing: two VMs may use it by mistake, and the first of them may be the leader.
+// Callers hold c.mu.
 func (c *Control) markReplacedVoters(id string) {
 	if c.cfg.Discovery == nil || c.node == nil || id == baseName(id) {
-		return // the first identity at an address succeeds nobody
+		return // the first identity at an address replaces no other
 	}
 	for _, v := range c.node.Status(c.clock.Now()).Members.Voters {
 		if v != id && baseName(v) == baseName(id) {
@@ -77,13 +77,13 @@
 	}
 }
 
-// founds asks the other first members until it knows that each of them is empty,
-// or one says that the group exists.
+// bootstrapAgreed asks the other founding members until it knows that each of them is
+// empty, or until one reports that the group exists.
 //
-// A member that asks this one is empty as well: it may found the group as soon as
-// it has its answers, and commit to it before this replica has asked in its turn.
-// Without counting that, the slowest of three founders would come as a stranger
-// to a group that takes it for a voter, and which the next loss would end.
+// A member that asks this one is empty as well. It may found the group as soon as it has
+// its answers, and commit entries before this replica has asked in turn. If that did not
+// count, the slowest of three founders would join under a new identity a group that lists
+// it as a voter, and the next failure would leave the group without a majority.
 func (c *Control) bootstrapAgreed() bool {
 	if _, ok := c.cfg.Members[c.cfg.Name]; !ok {
 		return false
@@ -108,8 +108,8 @@
 	return true
 }
 
-// allEmpty tells whether each first member has answered that it is empty, or has
-// asked this one.
+// allEmpty reports whether each founding member has answered that it is empty, or has asked
+// this one.
 func (c *Control) allEmpty(answered map[string]bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,12 +123,12 @@
 
 const (
 	bootstrapRetryEvery = 100 * time.Millisecond
-	// emptyRevision is the log index up to which a replica counts as empty: it
-	// has founded the group and nothing has been committed since.
+	// maxEmptyCommit is the commit index up to which a replica counts as empty: it has
+	// founded the group, and nothing has been committed since.
 	maxEmptyCommit = 1
 )
 
-// askEmpty returns the commit index of another first member.
+// fetchCommitIndex returns the commit index of another founding member.
 func (c *Control) fetchCommitIndex(addr string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 	defer cancel()
--- a/control/limits.go
+++ b/control/limits.go
@@ -9,34 +9,36 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Times of limits.
+// Intervals and timeouts of limits.
 const (
-	// limitsEvery is the time between two looks at what tokens are due.
+	// limitsEvery is the interval at which due tokens are issued.
 	limitsEvery = 50 * time.Millisecond
-	// limitAgain is the time after which the other replicas are told again that a server goes
-	// on naming its limit, so that an answer which was asked for before does not end it.
+	// limitRepeatEvery is the interval at which the other replicas are notified that a
+	// server still announces its limit, so that a response to a request sent earlier does
+	// not end the limit.
 	limitRepeatEvery = 400 * time.Millisecond
-	// limitKept is how long the end of a limit is remembered, so that an answer that was held
-	// up does not begin it again, and the observation about a server that is not listed any more.
+	// limitRetention is how long the end of a limit is remembered, so that a delayed
+	// response does not start the limit again. It is also how long the limit of a server is
+	// kept that is no longer listed.
 	limitRetention = 10 * time.Second
 )
 
-// limits is what a replica knows of the servers that name a limit of requests a second.
+// limits is the state of the servers that announce a limit of requests per second.
 type limits struct {
 	broker   *ratelimit.Broker
 	servers  map[string]*serverLimit
 	tickedAt time.Time
-	// supply is what gateways were told of the limited servers of each service.
+	// supply is what gateways have received about the limited servers of each service.
 	supply map[string]ratelimit.Supply
 }
 
-// knownLimit is the limit of one start of a server.
+// serverLimit is the limit of one incarnation of a server.
 type serverLimit struct {
 	ratelimit.Limit
-	// passedAt is when the other replicas were told, and passed the newest answer that they
-	// were told of.
+	// forwardedAt is when the other replicas were last notified, and forwardedAnswer the
+	// time of the newest response that they were notified of.
 	forwardedAt, forwardedAnswer time.Time
-	// listedAt is when the server was listed last.
+	// listedAt is when the server was last listed.
 	listedAt time.Time
 }
 
@@ -44,7 +46,7 @@
 	return limits{broker: ratelimit.NewBroker(now, self), servers: map[string]*serverLimit{}, supply: map[string]ratelimit.Supply{}}
 }
 
-// takeLimits takes what a gateway tells of limits.
+// handleLimits handles a limits message of a gateway.
 func (h *hub) handleLimits(l *wire.Link, m *wire.Limits) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,15 +57,15 @@
 	h.handleLimitMessage(ratelimit.Requester{Name: g.id}, m)
 }
 
-// takePeerLimits takes what another replica tells of limits.
+// handlePeerLimits handles a limits message of another replica.
 func (h *hub) handlePeerLimits(l *wire.Link, m *wire.Limits) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.handleLimitMessage(ratelimit.Requester{Name: baseName(l.Peer.Name), Replica: true}, m)
 }
 
-// takeLimitMessage takes what a gateway or another replica tells, and issues at once what is due
-// by that. Callers hold the lock.
+// handleLimitMessage handles a limits message and issues at once the tokens that are due
+// because of it. Callers hold h.mu.
 func (h *hub) handleLimitMessage(from ratelimit.Requester, m *wire.Limits) {
 	now := h.clock.Now()
 	for _, w := range m.Observations {
@@ -93,8 +95,8 @@
 	}
 }
 
-// noteLimit takes what a server said in an answer, and tells it on if it changes what is allowed.
-// Callers hold the lock.
+// recordObservation records what a server announced in a response, and forwards it if it
+// changes what the server accepts. Callers hold h.mu.
 func (h *hub) recordObservation(now time.Time, w wire.LimitObservation) {
 	k := h.limits.servers[w.Server]
 	if k == nil {
@@ -119,7 +121,7 @@
 	h.forwardLimits(now, m, k)
 }
 
-// passLimits tells the other replicas of limits. Callers hold the lock.
+// forwardLimits sends limits to the other replicas. Callers hold h.mu.
 func (h *hub) forwardLimits(now time.Time, m *wire.Message, forwarded ...*serverLimit) {
 	for l := range h.peers {
 		if l.Speaks() >= wire.KnowsLimits {
@@ -136,7 +138,8 @@
 	return wire.LimitObservation{Server: server, Named: w.Limited, Rate: w.Rate, Sent: now.Sub(w.Sent), Heard: now.Sub(w.Received)}
 }
 
-// limitObservations returns all limits that are known. Callers hold the lock.
+// limitObservations returns the newest observation of every server with a limit. Callers
+// hold h.mu.
 func (h *hub) limitObservations(now time.Time) []wire.LimitObservation {
 	var out []wire.LimitObservation
 	for id, k := range h.limits.servers {
@@ -145,7 +148,7 @@
 	return out
 }
 
-// setLimit tells the broker what a server takes now. Callers hold the lock.
+// setLimit sets the rate that a server accepts now in the broker. Callers hold h.mu.
 func (h *hub) setLimit(now time.Time, id string, k *serverLimit) {
 	s, listed := h.servers.Get(id)
 	rate, limited := k.Rate(now)
@@ -159,8 +162,8 @@
 	h.limits.broker.SetLimit(now, id, s.Service, rate)
 }
 
-// isLimited tells whether a server names a limit, so that it gets no orders and the others have to
-// do its work. Callers hold the lock.
+// isLimited reports whether a server announces a limit. Such a server gets no role orders,
+// and other servers have to do its work. Callers hold h.mu.
 func (h *hub) isLimited(now time.Time, id string) bool {
 	k := h.limits.servers[id]
 	if k == nil {
@@ -170,8 +173,8 @@
 	return limited
 }
 
-// tellLimits does what is due by time for the servers that name a limit; nothing if there are
-// none. Callers hold the lock.
+// tickLimits does the periodic work for servers that announce a limit; nothing if there are
+// none. Callers hold h.mu.
 func (h *hub) tickLimits(now time.Time) {
 	if now.Sub(h.limits.tickedAt) < limitsEvery {
 		return
@@ -192,8 +195,8 @@
 	h.sendSupply(now)
 }
 
-// reviewLimits puts the limits in force as they are now, forgets those that are over, and tells
-// the other replicas of those that go on. Callers hold the lock.
+// reviewLimits updates the limits in the broker, forgets those that have ended, and
+// notifies the other replicas of those that continue. Callers hold h.mu.
 func (h *hub) reviewLimits(now time.Time) {
 	var repeated []wire.LimitObservation
 	var forwarded []*serverLimit
@@ -219,8 +222,8 @@
 	metric.LimitedServers.WithLabelValues(h.name).Set(float64(named))
 }
 
-// welcomeLimits tells the gateways that have begun to share with this replica of all limits.
-// Callers hold the lock.
+// sendAllLimits sends all limits to the gateways that have started to report their load to
+// this replica. Callers hold h.mu.
 func (h *hub) sendAllLimits(now time.Time) {
 	for l, g := range h.gateways {
 		if g.reportsLoads && !g.limitsSent && l.Speaks() >= wire.KnowsLimits {
@@ -230,7 +233,7 @@
 	}
 }
 
-// issueLimits sends the tokens that are due. Callers hold the lock.
+// issueTokens sends the tokens that are due. Callers hold h.mu.
 func (h *hub) issueTokens(now time.Time) {
 	grants, returned := h.limits.broker.Issue(now, h.worksWith)
 	out := map[ratelimit.Requester]*wire.Limits{}
@@ -256,8 +259,8 @@
 	}
 }
 
-// askerLink returns the link on which somebody who wants tokens is told; nil if it has ended.
-// Callers hold the lock.
+// requesterLink returns the link of a gateway or replica that requests tokens; nil if it
+// has ended. Callers hold h.mu.
 func (h *hub) requesterLink(a ratelimit.Requester) *wire.Link {
 	if a.Replica {
 		return h.limitPeer(a.Name)
@@ -268,7 +271,7 @@
 	return nil
 }
 
-// worksWith tells whether a gateway works with a server. Callers hold the lock.
+// worksWith reports whether a gateway works with a server. Callers hold h.mu.
 func (h *hub) worksWith(gateway, server string) bool {
 	g := h.gatewaysByID[gateway]
 	if g == nil {
@@ -278,8 +281,8 @@
 	return works
 }
 
-// peerNamed returns the link on which a replica that knows limits is told; nil if there is none.
-// Callers hold the lock.
+// limitPeer returns the link of the named replica if its build supports limits; nil if
+// there is none. Callers hold h.mu.
 func (h *hub) limitPeer(name string) *wire.Link {
 	for l := range h.peers {
 		if baseName(l.Peer.Name) == name && l.Speaks() >= wire.KnowsLimits {
@@ -289,7 +292,8 @@
 	return nil
 }
 
-// linkedReplicas returns the replicas with a link that know limits. Callers hold the lock.
+// linkedReplicas returns the connected replicas whose builds support limits. Callers hold
+// h.mu.
 func (h *hub) linkedReplicas() []string {
 	var out []string
 	for l := range h.peers {
@@ -308,8 +312,9 @@
 	return out
 }
 
-// tellSupply tells the gateways that share with this replica what the limited servers of each
-// service take, and what waits for that, where it has changed. Callers hold the lock.
+// sendSupply sends the gateways that report their load here what the limited servers of
+// each service accept, and how many requests wait for that, where it has changed. Callers
+// hold h.mu.
 func (h *hub) sendSupply(now time.Time) {
 	supply, changed := h.limits.broker.Supply(now), map[string]ratelimit.Supply{}
 	for service, s := range supply {
--- a/control/links.go
+++ b/control/links.go
@@ -14,16 +14,15 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// peerLink is the way to another replica. Packets that find no link are lost;
-// the protocol sends them again.
+// peerLink is the connection to another replica. Packets are dropped while there is no
+// link; the protocol sends them again.
 type peerLink struct {
 	addr string
 	stop context.CancelFunc
 	link *wire.Link
 }
 
-// dialPeer starts the loop that keeps a link to a replica. Callers hold the
-// lock.
+// dialPeer starts the loop that keeps a link to a replica open. Callers hold c.mu.
 func (c *Control) dialPeer(name, addr string) {
 	if previous := c.peerLinks[name]; previous != nil {
 		if previous.addr == addr {
@@ -40,7 +39,7 @@
 	c.wg.Go(func() { c.peerLoop(ctx, p) })
 }
 
-// redial is the time between two tries to open a link to another replica.
+// redialDelay is the time between two attempts to open a link to another replica.
 const redialDelay = 60 * time.Millisecond
 
 func (c *Control) peerLoop(ctx context.Context, p *peerLink) {
@@ -73,14 +72,14 @@
 	c.mu.Unlock()
 }
 
-// sendPacket sends to a replica; callers hold the lock.
+// sendPacket sends a packet to a replica. Callers hold c.mu.
 func (c *Control) sendPacket(p consensus.Packet) {
 	if peer := c.peerLinks[baseName(p.To)]; peer != nil && peer.link != nil {
 		_ = peer.link.Send(&wire.Message{Raft: &p})
 	}
 }
 
-// serve runs a link that somebody opened.
+// serve runs a link that another process opened.
 func (c *Control) serve(l *wire.Link) {
 	if l.Peer.Role == wire.RoleGateway {
 		c.serveGateway(l)
@@ -122,7 +121,7 @@
 		delete(c.downstream, l)
 	} else {
 		c.removeReplicaLink(l)
-		// A new link of the same replica may be open already.
+		// A new link of the same replica may already be open.
 		if c.connected[l.Peer.Name]--; c.connected[l.Peer.Name] <= 0 {
 			delete(c.connected, l.Peer.Name)
 		}
@@ -191,8 +190,8 @@
 	}
 }
 
-// tell sends a peer what it lacks, with this replica's assurance of how current it
-// is.
+// sendSettings sends a peer the settings that it lacks, and whether this replica confirms
+// that they are the newest.
 func (c *Control) sendSettings(now time.Time, l *wire.Link, have uint64) {
 	if m := c.store.Push(have); m != nil {
 		m.Confirmed = c.node.Fresh(now)
@@ -200,7 +199,7 @@
 	}
 }
 
-// publish puts the newest revision of the state before all links below.
+// publish sends the newest revision of the state to all downstream links.
 func (c *Control) publish(now time.Time) {
 	text := c.state.Text()
 	if len(text) == 0 {
@@ -218,11 +217,12 @@
 	}
 }
 
-// beat tells every link below the newest revision.
+// sendHeartbeats sends the newest revision to every downstream link, and a heartbeat to the
+// gateways and replicas.
 func (c *Control) sendHeartbeats(now time.Time) {
 	c.hub.sendHeartbeats()
 	if !c.node.Fresh(now) {
-		// Peers still have to see life on the link.
+		// Keeps the link alive without confirming a revision.
 		c.sendDownstream(&wire.Message{Heartbeat: &wire.Heartbeat{}})
 	} else {
 		c.sendDownstream(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: c.state.Revision()}})
@@ -244,8 +244,8 @@
 	}
 }
 
-// zoneLink returns the link below that speaks for an availability zone: the
-// one with the lowest name, so that an order takes one way only.
+// zoneLink returns the downstream link that represents an availability zone: that of the
+// entry with the lowest name, so that an order takes only one path.
 func (c *Control) zoneLink(zone string) *wire.Link {
 	var lowest *wire.Link
 	for l := range c.downstream {
@@ -259,8 +259,8 @@
 	return lowest
 }
 
-// floor tells all agents, through one link for each availability zone, the
-// fence of this leader.
+// sendFloor sends the fence of this leader to all agents, through one link for each
+// availability zone.
 func (c *Control) sendFloor(tree *settings.Tree) {
 	m := &wire.Message{Order: &order.Order{Floor: true, Fence: order.Fence{Term: c.node.Term()}}}
 	sent := map[string]bool{}
--- a/control/loads.go
+++ b/control/loads.go
@@ -5,22 +5,22 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Each gateway tells one replica what it has reserved, that of its own availability
-// zone if there is one. Replicas tell each other the sums of their own gateways, and
-// their own gateways the sums of all others. So what crosses zones grows with the
-// engines and the replicas, and not with the gateways.
+// Each gateway sends its reservations to one replica, that of its own availability zone if
+// there is one. Replicas exchange the sums of their own gateways, and send their gateways
+// the sums of all others. So the traffic between zones grows with the number of engines and
+// replicas, and not with that of gateways.
 
-// share is what some gateways have reserved together.
+// loadSummary is what several gateways have reserved together.
 type loadSummary struct {
 	loads map[string]wire.EngineLoad
-	// gateways is the number of them, queued that of their requests that wait for
-	// room.
+	// gateways is the number of gateways, queued that of their requests that wait for
+	// capacity.
 	gateways, queued int
 }
 
 func newLoadSummary() loadSummary { return loadSummary{loads: map[string]wire.EngineLoad{}} }
 
-// note keeps the load at an engine, if there is any.
+// set stores the load of an engine, or removes it if it is empty.
 func (s *loadSummary) set(load wire.EngineLoad) {
 	if load == (wire.EngineLoad{Server: load.Server}) {
 		delete(s.loads, load.Server)
@@ -29,7 +29,7 @@
 	}
 }
 
-// message tells all of it.
+// fullMessage returns the message with all loads.
 func (s *loadSummary) fullMessage() *wire.Loads {
 	out := &wire.Loads{Gateways: s.gateways, Queued: s.queued, Whole: true}
 	for _, e := range s.loads {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// setLoads takes what a gateway has reserved.
+// setLoads sets what a gateway has reserved.
 func (h *hub) setLoads(l *wire.Link, m *wire.Loads) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,20 +50,21 @@
 	h.setReserved(g, m.List, !m.Ended)
 	h.setQueued(g, m.Queued)
 	if started {
-		// It may have left another replica, whose report of the servers ends with that.
+		// The gateway may have moved here from another replica, whose updates of its
+		// servers have ended, so it gets all of them again.
 		clear(g.servers)
 		h.newGateways = append(h.newGateways, l)
 	}
 }
 
-// queue takes how many requests of a gateway wait for room. Callers hold the lock.
+// setQueued sets the number of a gateway's requests that wait for capacity. Callers hold
+// h.mu.
 func (h *hub) setQueued(g *gatewayState, queued int) {
 	h.ownLoads.queued += queued - g.queued
 	g.queued = queued
 }
 
-// reserve puts what a gateway has reserved in the place of what it had before.
-// Callers hold the lock.
+// setReserved replaces what a gateway has reserved. Callers hold h.mu.
 func (h *hub) setReserved(g *gatewayState, list []wire.EngineLoad, reportsLoads bool) {
 	if g.reportsLoads != reportsLoads {
 		h.ownLoads.gateways += map[bool]int{true: 1, false: -1}[reportsLoads]
@@ -91,7 +92,7 @@
 	g.reserved = reserved
 }
 
-// moveOwn adds to what the gateways of this replica have at an engine.
+// addOwnLoad adds to the load that the gateways of this replica have on an engine.
 func (h *hub) addOwnLoad(id string, change wire.EngineLoad) {
 	load := addLoad(h.ownLoads.loads[id], change, 1)
 	load.Server = id
@@ -100,7 +101,7 @@
 	h.addTotalLoad(id, change)
 }
 
-// move adds to the sum of an engine.
+// addTotalLoad adds to the total load of an engine.
 func (h *hub) addTotalLoad(id string, change wire.EngineLoad) {
 	sum := addLoad(h.totalLoads[id], change, 1)
 	sum.Server = id
@@ -112,7 +113,7 @@
 	h.changedLoads[id] = true
 }
 
-// setPeerLoads takes what another replica tells of its gateways.
+// setPeerLoads sets what another replica reports about its gateways.
 func (h *hub) setPeerLoads(l *wire.Link, m *wire.Loads) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// losePeer forgets what a replica told whose link has ended.
+// forgetPeer forgets everything that a replica has reported after its link has ended.
 func (h *hub) forgetPeer(l *wire.Link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,7 +142,7 @@
 	delete(h.peerUsageAt, l)
 }
 
-// dropPeer takes what a replica has told out of the sums. Callers hold the lock.
+// subtractPeerLoads removes the loads of a replica from the totals. Callers hold h.mu.
 func (h *hub) subtractPeerLoads(l *wire.Link) {
 	s := h.peerLoads[l]
 	if s == nil {
@@ -153,8 +154,8 @@
 	}
 }
 
-// tellPeers tells the other replicas what the gateways of this one have reserved,
-// where that has changed. Callers hold the lock.
+// sendLoadsToPeers sends the other replicas what the gateways of this one have reserved,
+// where it has changed. Callers hold h.mu.
 func (h *hub) sendLoadsToPeers() {
 	out := &wire.Loads{Gateways: h.ownLoads.gateways, Queued: h.ownLoads.queued}
 	for id := range h.changedOwnLoads {
@@ -179,8 +180,8 @@
 	}
 }
 
-// total returns the number of all gateways whose loads are known, and that of their
-// requests that wait for room. Callers hold the lock.
+// totals returns the number of all gateways whose loads are known, and that of their
+// requests that wait for capacity. Callers hold h.mu.
 func (h *hub) totals() (gateways, queued int) {
 	gateways, queued = h.ownLoads.gateways, h.ownLoads.queued
 	for _, s := range h.peerLoads {
@@ -190,10 +191,10 @@
 	return gateways, queued
 }
 
-// tellLoads tells each gateway of this replica what the others have reserved at the
-// engines that it works with, where that has changed. An engine that this replica has
-// not heard of is told of to all: while the replicas are cut from each other, it may
-// have reported itself to others, and so be in use. Callers hold the lock.
+// sendLoads sends each gateway of this replica what the others have reserved on the engines
+// that it works with, where it has changed. The load of an engine that is unknown here goes
+// to all gateways: while the replicas are partitioned, it may have reported itself to other
+// replicas and be in use. Callers hold h.mu.
 func (h *hub) sendLoads() {
 	gateways, queued := h.totals()
 	for l, g := range h.gateways {
@@ -218,8 +219,8 @@
 	clear(h.changedLoads)
 }
 
-// tellLoad adds an engine to what a gateway is told, if it has to hear of it.
-// Callers hold the lock.
+// appendLoadUpdate adds the load of an engine to a gateway's update if the gateway needs
+// it. Callers hold h.mu.
 func (h *hub) appendLoadUpdate(g *gatewayState, id string, out *wire.Loads) {
 	_, works := g.servers[id]
 	if _, known := h.servers.Get(id); known && !works {
@@ -233,29 +234,30 @@
 	}
 }
 
-// heldStep is the change of the tokens that runs have now from which on it is told:
-// they grow all the time, and a run makes so many in a second.
+// heldTokensStep is the minimum change of the tokens held by runs that is sent. The number
+// grows constantly, and a run generates about that many in a second.
 const heldTokensStep = 1000
 
-// goodStep is the part of the requests that went well whose change is told.
+// goodDivisor determines which changes of the number of successful requests are sent: those
+// above 1/goodDivisor of the number sent last.
 const goodDivisor = 4
 
-// worthTelling tells whether a load that has changed has to be told.
+// needsUpdate reports whether a changed load has to be sent.
 func needsUpdate(sent, load wire.EngineLoad) bool {
-	sent.Server = load.Server // nothing was told of an engine without reservations
+	sent.Server = load.Server // nothing was sent for an engine without reservations
 	grown := load.Held - sent.Held
 	if grown >= heldTokensStep || grown <= -heldTokensStep {
 		return true
 	}
 	load.Held = sent.Held
-	// What went well counts only against what failed, and as a share.
+	// The number of successful requests matters only in proportion to failed ones.
 	if change := max(load.Good-sent.Good, sent.Good-load.Good); load.Bad == 0 || goodDivisor*change <= sent.Good {
 		load.Good = sent.Good
 	}
 	return load != sent
 }
 
-// addLoad adds or subtracts the numbers of a load.
+// addLoad adds b to a, or subtracts it if sign is negative.
 func addLoad(a, b wire.EngineLoad, sign int) wire.EngineLoad {
 	a.Tokens += sign * b.Tokens
 	a.Prefill += sign * b.Prefill
--- a/control/older.go
+++ b/control/older.go
@@ -7,10 +7,11 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Gateways of builds that know neither evacuations nor cold servers leave a server alone while
-// it changes its role. So they are told that a server which they should keep away from changes
-// to a role that none ever has, again and again, since a change is believed for some seconds
-// only; and in the end that it has the role that it had.
+// Gateways of builds that support neither evacuations nor cold servers only avoid a server
+// while it changes its role. So they are notified that a server which they should avoid
+// changes to a role that no server ever has. This is repeated, since a gateway applies a
+// role change for some seconds only. In the end they are notified that the server has its
+// former role.
 
 const (
 	excludedRole      = "kept"
@@ -18,8 +19,7 @@
 	excludeAgainEvery = time.Second
 )
 
-// keepOlder tells older gateways which servers they should keep away from. Callers hold the
-// lock.
+// updateOlderGateways notifies older gateways which servers to avoid. Callers hold h.mu.
 func (h *hub) updateOlderGateways(now time.Time) {
 	var list []registry.Server
 	for l, g := range h.gateways {
@@ -35,7 +35,8 @@
 	}
 }
 
-// keptFrom returns what a gateway is told now of the servers of a list.
+// exclusionUpdates returns the role changes that are due for a gateway, for the servers of
+// a list. Callers hold h.mu.
 func (h *hub) exclusionUpdates(now time.Time, g *gatewayState, list []registry.Server) []wire.Away {
 	var out []wire.Away
 	for _, s := range list {
--- a/control/orders.go
+++ b/control/orders.go
@@ -8,8 +8,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// orders gives the orders that bring the engines in line with the settings.
-// Only a leader under its lease does. Callers hold the lock.
+// issueOrders issues the orders that bring the engines in line with the settings, if this
+// replica leads under its lease. Callers hold c.mu.
 func (c *Control) issueOrders(now time.Time) {
 	tree := c.store.Tree()
 	if tree == nil || !c.node.Lead(now) {
@@ -35,11 +35,11 @@
 	}
 }
 
-// floorEvery is the time between two tellings of the fence, for agents that
-// have restarted.
+// floorSendEvery is the interval at which the fence is sent again, for agents that have
+// restarted.
 const floorSendEvery = 2 * time.Second
 
-// servers joins what the settings want with what the zones report.
+// orderServers joins the servers of the settings with the state that the zones report.
 func (c *Control) orderServers(tree *settings.Tree) []order.Server {
 	has := map[string]wire.ServerState{}
 	for _, z := range c.zoneSummaries {
--- a/control/roles.go
+++ b/control/roles.go
@@ -14,9 +14,9 @@
 	"github.com/ledgepin/ledgepin/roles"
 )
 
-// RoleConfig is how the leader gives engines their roles.
+// RoleConfig configures how the leader assigns roles to engines.
 type RoleConfig struct {
-	// Protocol is what engines speak; no orders are given without it.
+	// Protocol is the protocol of the engines; without it, no orders are given.
 	Protocol *backend.Protocol
 	// Share is the share of prefill engines while there is no load.
 	Share float64
@@ -24,35 +24,35 @@
 	Lease time.Duration
 }
 
-// Times of role orders.
+// Intervals and limits of role orders.
 const (
 	planEvery    = 250 * time.Millisecond
 	orderTimeout = time.Second
-	// leaseMargin is added to the lease: the order of the leader before may
-	// have been on its way.
+	// leaseMargin is added to the lease, since an order of the previous leader may still be
+	// in transit.
 	leaseMargin    = 700 * time.Millisecond
 	maxReportBytes = 64 << 10
 	// firstTerm is the term of the first leader of a group.
 	firstTerm = 2
 )
 
-// rolePlanning is what a replica knows while it plans the roles of engines.
+// rolePlanning is the state of a replica that plans the roles of engines.
 type rolePlanning struct {
 	pool     *backend.Pool
 	planners map[string]*roles.Planner
-	// ledSince is when this replica began to lead; zero if it does not.
+	// ledSince is when this replica became the leader; zero if it does not lead.
 	ledSince time.Time
 }
 
-// roleLoop plans while this replica leads.
+// roleLoop plans roles while this replica leads.
 func (c *Control) roleLoop() {
 	p := &rolePlanning{pool: c.newEnginePool(), planners: map[string]*roles.Planner{}}
 	defer p.pool.Close()
 	wait.Each(c.ctx, c.clock, planEvery, func(now time.Time) { c.planRoles(now, p) })
 }
 
-// planRoles orders what is due. A new leader waits until no order of the one
-// before can be on its way.
+// planRoles issues the role orders that are due. A new leader waits until no order of the
+// previous one can be in transit.
 func (c *Control) planRoles(now time.Time, p *rolePlanning) {
 	fence, ok := c.fence(now)
 	if !ok {
@@ -80,7 +80,7 @@
 	}
 }
 
-// newPlanner returns the planner of a leader of a term.
+// newPlanner returns the planner for a leader of a term.
 func (c *Control) newPlanner(term uint64) *roles.Planner {
 	if term > firstTerm {
 		return roles.Resume(c.cfg.Roles.Share)
@@ -88,7 +88,8 @@
 	return &roles.Planner{PrefillShare: c.cfg.Roles.Share}
 }
 
-// fence returns the term as a fence while this replica leads under its lease.
+// fence returns the current term as a fence. It returns false unless this replica leads
+// under its lease.
 func (c *Control) fence(now time.Time) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +99,8 @@
 	return c.node.Term(), true
 }
 
-// orderRole gives one order. The engine is asked first how many orders it has
-// taken, so that this one has no effect if it is carried out after another.
+// orderRole issues one order. The engine is first asked for the number of orders that it
+// has accepted, so that this order has no effect if it arrives after a later one.
 func (c *Control) orderRole(pool *backend.Pool, service string, o roles.Change) {
 	s, known := c.hub.server(o.Engine)
 	engine, ok := c.hub.engineSpec(service)
@@ -114,11 +115,11 @@
 	}
 }
 
-// errNoAnswer tells that an order was sent and may be carried out.
-var errNoAnswer = errors.New("control: no answer to an order")
+// errNoAnswer means that an order was sent and may be carried out.
+var errNoAnswer = errors.New("control: no response to a role order")
 
-// errRestarted tells that an engine has started again since it was planned with.
-var errRestarted = errors.New("control: the engine has started again")
+// errRestarted means that an engine has restarted since the plan was made.
+var errRestarted = errors.New("control: the engine has restarted since the plan was made")
 
 func (c *Control) sendRoleOrder(pool *backend.Pool, s registry.Server, o roles.Change) (int, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
--- a/control/selfreport.go
+++ b/control/selfreport.go
@@ -12,8 +12,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// takeLeaving takes which servers have said to a gateway, in their answers, that they leave. From
-// then on they are as those whose heartbeats say so.
+// handleLeaving handles servers that have announced in responses to a gateway that they are
+// leaving. They are treated like servers whose heartbeats report it.
 func (h *hub) handleLeaving(list []registry.Server) {
 	for _, s := range list {
 		if s.State == registry.Draining {
@@ -22,8 +22,8 @@
 	}
 }
 
-// drain takes that a server leaves, and tells gateways and replicas; false if that is known, or the
-// start is not the server's newest.
+// markDraining marks a server as draining, and notifies gateways and replicas. It returns
+// false if that is known, or if the incarnation is not the server's newest.
 func (h *hub) markDraining(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,13 +43,13 @@
 	return true
 }
 
-// pausedEngines are the engines that want no calls of this replica for a time.
+// pausedEngines are the engines that have asked this replica to pause calls.
 type pausedEngines struct {
 	mu     sync.Mutex
 	pauses map[string]*selfreport.Pause
 }
 
-// admit tells why an engine takes no call now.
+// admit returns an error if an engine accepts no calls now.
 func (p *pausedEngines) admit(now time.Time, id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// ask takes that an engine wants a pause, and forgets those that are over.
+// pause records that an engine asks for a pause, and forgets pauses that have ended. It
+// returns whether the pause is new.
 func (p *pausedEngines) pause(now time.Time, id string, d time.Duration) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,8 +75,8 @@
 	return p.pauses[id].Extend(now, d, 0)
 }
 
-// newEnginePool returns the connections over which engines get reports and orders. What their
-// answers say of them binds this replica too.
+// newEnginePool returns the pool of connections for reports and role orders. What engines
+// announce in their responses applies to this replica too.
 func (c *Control) newEnginePool() *backend.Pool {
 	pool := backend.NewPool()
 	paused := &pausedEngines{pauses: map[string]*selfreport.Pause{}}
--- a/control/state_files.go
+++ b/control/state_files.go
@@ -15,37 +15,38 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Replicas keep beside the log what they would otherwise have to learn anew after all
-// processes were ended.
+// Replicas keep soft state in files beside the log that they would otherwise have to learn
+// again after all processes were stopped.
 //
 // Servers repeat their reports about once a second, so a system whose processes were all
-// ended knew no server for as long after it was back. A replica starts with them as last
-// known: for lastKnownFor they count as heard, unless they say otherwise. Whoever uses one
-// names the incarnation, so what is wrong costs a refused try.
+// stopped would know no server for that long after its restart. A replica starts with the
+// servers that it last knew, and lists them for restoredServerTTL unless they report
+// another state. A request names the incarnation of its server, so an outdated entry costs
+// one refused attempt.
 //
-// It is no part of the log: it may be lost, and no answer waits for it.
+// The files are not part of the log: they may be lost, and no answer waits for them.
 
 const (
-	// knownEvery is the least time between two writes of a file.
+	// stateSaveEvery is the minimum interval between two writes of a file.
 	stateSaveEvery = 250 * time.Millisecond
-	// lastKnownFor is how long a server counts as there that was only known before
-	// the start: two of the times in which servers repeat their reports.
+	// restoredServerTTL is how long a restored server stays listed without a report: twice
+	// the interval at which servers repeat their reports.
 	restoredServerTTL = 2500 * time.Millisecond
 )
 
-// knownFile is one file beside the log.
+// stateFile is a file of soft state beside the log.
 type stateFile struct {
 	name string
-	// restore takes what the file held, and returns how many entries; false if it is
-	// another message than the file should hold.
+	// restore restores the contents of the file, and returns the number of entries. It
+	// returns false if the message is not of the type that the file should hold.
 	restore func(now time.Time, m *wire.Message) (int, bool)
-	// unsaved returns what is to be kept, nil if it has not changed; notSaved has it kept
-	// at the next try.
+	// takeUnsaved returns what is to be saved, or nil if it has not changed. markUnsaved
+	// makes the next attempt save it again.
 	takeUnsaved func(now time.Time) *wire.Message
 	markUnsaved func()
 }
 
-// knownFiles are the files beside the log; none if all is kept in memory.
+// stateFiles returns the files of soft state; none if everything is kept in memory.
 func (c *Control) stateFiles() []stateFile {
 	if c.cfg.Dir == "" {
 		return nil
@@ -56,7 +57,7 @@
 	}
 }
 
-// loadKnown starts with what was known before.
+// loadStateFiles restores the soft state from its files.
 func (c *Control) loadStateFiles() {
 	for _, f := range c.stateFiles() {
 		n, err := c.loadStateFile(f)
@@ -82,13 +83,13 @@
 	}
 	n, ok := f.restore(c.clock.Now(), m)
 	if !ok {
-		return 0, errors.New("the file holds something else")
+		return 0, errors.New("the file holds a message of another type")
 	}
 	return n, nil
 }
 
-// keepKnown writes a file when what it holds has changed, until the replica ends. A
-// disk that is full or stalls holds up nothing else.
+// saveStateFile saves a file whenever its state has changed, until the replica stops. A
+// disk that is full or stalls delays nothing else.
 func (c *Control) saveStateFile(f stateFile) {
 	failing := false
 	wait.Each(c.ctx, c.clock, stateSaveEvery, func(now time.Time) {
@@ -110,7 +111,7 @@
 	})
 }
 
-// restoreServers takes the servers that were known before the start.
+// restoreServers restores the servers that were saved before the process started.
 func (h *hub) restoreServers(now time.Time, m *wire.Message) (int, bool) {
 	if m.Servers == nil {
 		return 0, false
@@ -119,8 +120,8 @@
 	return len(m.Servers.List), true
 }
 
-// restore takes what was known before the start. Gateways are told of it when
-// they join, as of all other servers.
+// restoreServerList adds the saved servers to the registry. Gateways receive them when they
+// connect, like all other servers.
 func (h *hub) restoreServerList(now time.Time, m *wire.Servers) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,7 +129,7 @@
 		if s.State == registry.Ready {
 			s.Age = max(serverTTL-restoredServerTTL, 0)
 		}
-		_, _ = h.recordReport(now, s) // what was kept of an earlier start is of no use
+		_, _ = h.recordReport(now, s) // a saved report of an earlier incarnation is useless
 	}
 	for _, a := range m.Away {
 		back := now.Add(a.For)
@@ -136,7 +137,8 @@
 	}
 }
 
-// unsaved returns what is to be kept, if it has changed.
+// takeUnsavedServers returns the servers to save if they have changed, and marks them
+// saved.
 func (h *hub) takeUnsavedServers(now time.Time) *wire.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -147,7 +149,7 @@
 	return &wire.Message{Servers: &wire.Servers{List: h.servers.List(now), Away: h.awayList(now)}}
 }
 
-// notSaved has what is known kept at the next try.
+// markServersUnsaved makes the next attempt save the servers again.
 func (h *hub) markServersUnsaved() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/control/table.go
+++ b/control/table.go
@@ -14,11 +14,10 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// PutTable makes a routing table the one in force if its version is the
-// highest. A table whose version is not above the one that is held has been
-// overtaken, and is acknowledged without effect. An error of code
-// change_outcome_unknown means that the table may still come into force; the
-// same table can be sent again.
+// PutTable puts a routing table in force if its version is the highest. A table whose
+// version is not above the current one is superseded, and is acknowledged without effect.
+// An error of code change_outcome_unknown means that the table may still come into force;
+// the same table can be sent again.
 func (c *Control) PutTable(ctx context.Context, t *route.Table) error {
 	if err := t.Validate(); err != nil {
 		event.SettingRefused.Log(c.log, "version", t.Version, "detail", err.Error())
@@ -37,12 +36,12 @@
 	return nil
 }
 
-// callTimeout is how long an operator's call waits to be committed: operators move on to
+// callTimeout is how long an operator's call waits for the commit. Operators switch to
 // another replica after a second.
 const callTimeout = 900 * time.Millisecond
 
-// confirmed waits until a proposal has taken effect. An error of code change_outcome_unknown
-// means that it may still.
+// awaitCommit waits until a proposal has taken effect. An error of code
+// change_outcome_unknown means that it may still take effect.
 func (c *Control) awaitCommit(ctx context.Context, id string, w chan fleet.Result) error {
 	defer c.removeWaiter(id, w)
 	select {
@@ -68,8 +67,8 @@
 	return id, w, false, err
 }
 
-// proposeOnce puts a change into the log under an ID that no other proposal has, and returns
-// what tells that it has taken effect. Callers hold the lock.
+// proposeUnique appends a change to the log under an ID that no other proposal has. It
+// returns the ID and the channel on which the result is delivered. Callers hold c.mu.
 func (c *Control) proposeUnique(now time.Time, what string, change fleet.Change) (string, chan fleet.Result, error) {
 	c.proposals++
 	change.ID = fmt.Sprintf("%s %s %d", what, c.id, c.proposals)
@@ -87,8 +86,8 @@
 	return change.ID, w, nil
 }
 
-// Table returns the routing table in force; nil before the first. A replica
-// that can't be sure that it is the newest returns an error.
+// Table returns the routing table in force; nil before the first one. It fails if the
+// replica can't be sure that its table is the newest.
 func (c *Control) Table() (*route.Table, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +97,8 @@
 	return c.state.Table(), nil
 }
 
-// Leader returns the link address of the leader that this replica follows;
-// empty if it knows none or leads itself.
+// Leader returns the link address of the leader that this replica follows. It is empty if
+// there is no known leader or if this replica leads itself.
 func (c *Control) Leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,10 +108,10 @@
 	return baseName(c.node.Leader())
 }
 
-// Report takes a backend server's report about itself. It returns false if this
-// replica is cut off, so that the server tells another one, and an error if another server
-// must have said it. The report of an earlier start counts as taken: that start gets nothing
-// any more.
+// Report handles a backend server's report about itself. It returns false if no gateway or
+// other replica is connected to this one, so that the server reports to another replica,
+// and an error if the report can only come from another server. The report of an earlier
+// incarnation counts as accepted, since that incarnation gets no work any more.
 func (c *Control) Report(s registry.Server) (reachable bool, err error) {
 	reachable, err = c.hub.report(s)
 	switch {
@@ -127,12 +126,12 @@
 	return reachable, err
 }
 
-// RejectReport takes that a report about a server could not be read.
+// RejectReport records that a report about a server could not be read.
 func (c *Control) RejectReport(name, from string, err error) {
 	c.logRejectedReport("unreadable", name, from, err)
 }
 
-// refuseReport tells of a report that is not used.
+// logRejectedReport counts and logs a report that is not used.
 func (c *Control) logRejectedReport(reason, name, from string, err error) {
 	metric.ReportsRefused.WithLabelValues(reason).Inc()
 	if c.rejectionLog.Allow(c.clock.Now(), reason+" "+name) {
@@ -140,9 +139,9 @@
 	}
 }
 
-// ReplicaInZone returns the link address of a replica in an availability zone that this one has
-// a link to; empty if there is none, or if this one is in that zone. Servers report
-// themselves about once a second, and their report need not cross zones for it.
+// ReplicaInZone returns the link address of a connected replica in an availability zone. It
+// is empty if there is none, or if this replica is in that zone. Servers report about once
+// a second, and with a replica in their own zone these reports need not cross zones.
 func (c *Control) ReplicaInZone(zone string) string {
 	if zone == "" || zone == c.cfg.Zone {
 		return ""
--- a/control/unreadable.go
+++ b/control/unreadable.go
@@ -12,19 +12,20 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// A replica that meets what it can't read stops, and changes nothing: whatever it did next
-// would rest on a state that the others don't have. It does not come back by itself, since the
-// same would stand before it again; a build that reads it has to take its place.
+// A replica that finds data that it can't read stops and changes nothing: whatever it did
+// next would be based on a state that the other replicas don't have. It does not recover by
+// itself, since it would find the same data again; it has to be replaced by a build that
+// reads the data.
 
-// Kinds of what can't be read, as the metric names them.
+// Kinds of unreadable data, as labels of the metric.
 const (
 	unreadableJournal = "journal"
 	unreadableCommand = "command"
 	unreadablePacket  = "packet"
 )
 
-// cantRead takes that the replica's own data can't be read by this build; false for any other
-// error. Callers do not hold the lock.
+// stopIfNewer stops the replica if err means that its own data was written by a newer
+// build. It returns false for any other error. Callers do not hold c.mu.
 func (c *Control) stopIfNewer(err error) bool {
 	if !fault.Is(err, fault.JournalNewer) {
 		return false
@@ -35,22 +36,22 @@
 	return true
 }
 
-// stopAt ends the replica's part in the group at a committed command that it can't read.
-// Callers hold the lock.
+// stopAtEntry ends the replica's participation in the group at a committed command that it
+// can't read. Callers hold c.mu.
 func (c *Control) stopAtEntry(index uint64, err error) {
 	c.node.Stop(index)
 	c.recordUnreadable(unreadableCommand, fmt.Errorf("entry %d: %w", index, err))
 }
 
 func (c *Control) recordUnreadable(what string, err error) {
-	c.stopReason = "it holds what a newer build wrote: " + err.Error()
+	c.stopReason = "the replica holds data written by a newer build: " + err.Error()
 	metric.Unread.WithLabelValues(what).Inc()
 	event.DataNewer.Log(c.log, "what", what, "error", err)
 }
 
-// readable returns what of a packet this build can't read; nil if it can be taken. Commands
-// count too: one that is not kept is not acknowledged, so it is not committed by the report of a
-// replica that can't carry it out.
+// checkReadable returns an error if this build can't read something in a packet. This includes
+// the commands in its entries: a command that is not stored is not acknowledged, so a
+// replica that can't apply it does not count towards its commit.
 func (c *Control) checkReadable(p *consensus.Packet) error {
 	if err := p.Unread(); err != nil {
 		return err
@@ -68,8 +69,8 @@
 	return fleet.ReadableSnapshot(p.Snapshot.Data)
 }
 
-// refusePacket takes that a packet can't be read. The leader that sent it gets no answer: if
-// most replicas can't read it, another one leads. Callers hold the lock.
+// rejectPacket records that a packet can't be read. The leader that sent it gets no answer;
+// if most replicas can't read it, another replica is elected. Callers hold c.mu.
 func (c *Control) rejectPacket(now time.Time, l *wire.Link, err error) {
 	metric.Unread.WithLabelValues(unreadablePacket).Inc()
 	if c.rejectionLog.Allow(now, unreadablePacket+" "+l.Peer.Name) {
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -14,17 +14,20 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// UpgradeStatus is what operators see of the fleet's version.
+// UpgradeStatus is the state of the fleet's version for operators.
 type UpgradeStatus struct {
-	// Version is in force; Next is what it would rise to, zero if this build knows none.
+	// Version is the version in force. Next is the one that it would rise to; zero if this
+	// build knows none.
 	Version int `json:"version"`
 	Next    int `json:"next,omitempty"`
-	// Since is the moment from which on all members could read the next one; nil while one
-	// can't.
+	// Since is the time from which on all members have been able to read the next version;
+	// nil while one can't.
 	Since *time.Time `json:"since,omitempty"`
-	// After is the time for which they must, zero if only an operator raises the version.
+	// After is how long they must have been able to; zero if only an operator raises the
+	// version.
 	After time.Duration `json:"after"`
-	// Holds are what keeps it from rising, Waits what keeps it from rising by itself.
+	// Holds are the reasons that block a rise of the version, Waits the additional ones
+	// that block an automatic rise.
 	Holds   []compat.Blocker `json:"holds"`
 	Waits   []compat.Blocker `json:"waits,omitempty"`
 	Members []UpgradeMember  `json:"members"`
@@ -35,18 +38,20 @@
 	ID     string `json:"id"`
 	Voter  bool   `json:"voter"`
 	Leader bool   `json:"leader,omitempty"`
-	// Build and Told are what it told last; nil if it told nothing to this leader.
+	// Build and Versions are what the member reported last; empty if it has reported
+	// nothing to this leader.
 	Build    string        `json:"build,omitempty"`
 	Versions *compat.Range `json:"told,omitempty"`
-	// Silent tells that it is out of touch.
+	// Silent reports that the member is disconnected.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// silentAfter is the time without an answer after which a member counts as out of touch: some
-// heartbeats, and no longer than the restart of a process takes.
+// silentAfter is the time without an answer after which a member counts as disconnected:
+// several heartbeats, and no longer than the restart of a process takes.
 const silentAfter = time.Second
 
-// UpgradeStatus returns the state of the fleet's version, as the leader sees it.
+// UpgradeStatus returns the state of the fleet's version. It fails unless this replica
+// leads.
 func (c *Control) UpgradeStatus() (UpgradeStatus, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +62,7 @@
 	return c.upgradeStatusLocked(now), nil
 }
 
-// upgrade looks at the members. Callers hold the lock.
+// upgradeStatusLocked evaluates the versions of all members. Callers hold c.mu.
 func (c *Control) upgradeStatusLocked(now time.Time) UpgradeStatus {
 	if term := c.node.Term(); term != c.gateTerm {
 		c.gate, c.gateTerm = compat.Gate{}, term
@@ -82,13 +87,13 @@
 	return out
 }
 
-// foundingSettle is the settling time of a group that is being founded: until its first
-// members have found each other.
+// bootstrapSettleTime is the settle time of a group that is being founded: long enough for
+// its first members to find each other.
 const bootstrapSettleTime = time.Second
 
-// settling is the time for which all members must have told that they read the next version.
-// While the first leader of a group leads that found itself by seeds, there is no older build
-// to go back to. Callers hold the lock.
+// settleTime is how long all members must have reported that they read the next version.
+// Under the first leader of a discovered group it is short, since there is no older build
+// to return to. Callers hold c.mu.
 func (c *Control) settleTime() time.Duration {
 	if c.cfg.Discovery != nil && c.node.Term() <= firstTerm {
 		return min(c.cfg.UpgradeAfter, bootstrapSettleTime)
@@ -114,7 +119,8 @@
 	return out
 }
 
-// raise proposes the next version once nothing holds it back any more. Callers hold the lock.
+// raiseVersionIfReady proposes the next version once nothing holds it back. Callers hold
+// c.mu.
 func (c *Control) raiseVersionIfReady(now time.Time) {
 	c.forgetHellos(now)
 	if !c.node.Lead(now) {
@@ -141,8 +147,9 @@
 	return id, nil
 }
 
-// RaiseVersion raises the fleet's version by one, unless something holds it back: Holds say what then.
-// An error of code change_outcome_unknown means that it may still rise.
+// RaiseVersion raises the fleet's version by one, unless something holds it back; Holds has
+// the reasons then. An error of code change_outcome_unknown means that the version may
+// still rise.
 func (c *Control) RaiseVersion(ctx context.Context, who string) (UpgradeStatus, error) {
 	u, w, err := c.proposeNextVersion()
 	if err != nil || w == nil {
@@ -162,10 +169,11 @@
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 	}
-	return u, fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.id, "not confirmed in time; look at the status")
+	return u, fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.id, "not confirmed in time; check the upgrade status")
 }
 
-// startRaise proposes the next version; the channel is nil if something holds it back.
+// proposeNextVersion proposes the next version. The channel is nil if something holds it
+// back.
 func (c *Control) proposeNextVersion() (UpgradeStatus, chan fleet.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/usage.go
+++ b/control/usage.go
@@ -7,24 +7,24 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// How long the report of others stands for what they use of the limits.
+// How long the last report of a gateway or replica about its usage of limits is current.
 const (
-	// gatewayHeardFor is for a gateway: it shows life every 0.4 s.
+	// gatewayUsageTTL applies to a gateway, which sends a heartbeat every 0.4 s.
 	gatewayUsageTTL = time.Second
-	// peerHeardFor is for another replica and its gateways, some of the times in
-	// which replicas tell each other. Until then the gateways of both sides of a cut use
-	// the whole of each limit.
+	// peerUsageTTL applies to another replica and its gateways: several times the interval
+	// at which replicas report to each other. Until it expires in a partition, the gateways
+	// of both sides use the whole of each limit.
 	peerUsageTTL = 300 * time.Millisecond
 )
 
-// setUse takes what organisations have used at a gateway.
+// addUsage adds what organisations have used at a gateway.
 func (h *hub) addUsage(l *wire.Link, u *quota.UsageUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ledger.AddUsage(h.clock.Now(), l, u.Used)
 }
 
-// hear takes that a gateway has said something.
+// noteActivity records that a gateway has sent a message.
 func (h *hub) noteActivity(l *wire.Link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// setPeerUse takes what another replica tells of the use of limits.
+// applyPeerUsage applies what another replica reports about the usage of limits.
 func (h *hub) applyPeerUsage(l *wire.Link, u *quota.UsageUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,8 +42,8 @@
 	h.ledger.ApplyPeerUpdate(now, u)
 }
 
-// group returns the number of gateways that are told of each other: those that this
-// replica or another one has just heard. Callers hold the lock.
+// liveGateways returns the number of gateways that receive each other's usage: those that
+// have recently sent a message to this replica or to another one. Callers hold h.mu.
 func (h *hub) liveGateways(now time.Time) int {
 	n := 0
 	for _, g := range h.gateways {
@@ -59,8 +59,8 @@
 	return n
 }
 
-// seen returns the number of gateways that have a link to this replica; one that has
-// started anew may have two for a moment. Callers hold the lock.
+// linkedGateways returns the number of gateways that have a link to this replica. A
+// restarted gateway may have two links for a moment and counts once. Callers hold h.mu.
 func (h *hub) linkedGateways() int {
 	names := make(map[string]bool, len(h.gateways))
 	for l := range h.gateways {
@@ -69,8 +69,8 @@
 	return len(names)
 }
 
-// tellPeersUse tells the other replicas what organisations have used here. Callers hold
-// the lock.
+// sendUsageToPeers sends the other replicas what organisations have used here. Callers hold
+// h.mu.
 func (h *hub) sendUsageToPeers(now time.Time) {
 	if !h.hasOrganisations() {
 		return
@@ -88,8 +88,8 @@
 	}
 }
 
-// tellUse tells the gateways that share with this replica what organisations have used
-// elsewhere. Callers hold the lock.
+// sendUsage sends the gateways that report their load to this replica what organisations
+// have used elsewhere. Callers hold h.mu.
 func (h *hub) sendUsage(now time.Time) {
 	if !h.hasOrganisations() {
 		return
@@ -98,6 +98,6 @@
 	h.ledger.SendGatewayUpdates(now, func(l *wire.Link, u *quota.UsageUpdate) { _ = l.Send(&wire.Message{Use: u}) })
 }
 
-// keyed tells whether there are organisations, so that their use has to be told. Callers
-// hold the lock.
+// hasOrganisations reports whether there are organisations, so that their usage has to be
+// exchanged. Callers hold h.mu.
 func (h *hub) hasOrganisations() bool { return h.table != nil && h.table.Keyed }
--- a/control/versions.go
+++ b/control/versions.go
@@ -13,25 +13,26 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Each replica keeps which versions the others have told, and sends to and hears none that
-// does not read what its own log holds.
+// Each replica keeps the versions that the others report. It exchanges nothing with a
+// replica that does not read what its own log holds.
 //
-// That is decided by the log and not by the version in force: an entry that raises the version
-// may be sent by a replica that does not know yet whether it is committed.
+// The log decides this and not the version in force: an entry that raises the version may
+// be sent by a replica that does not yet know whether the entry is committed.
 
-// versions are those that this replica reads and writes.
+// versions is the range of versions that this replica reads and writes.
 func (c *Control) versions() compat.Range { return cmp.Or(c.cfg.Versions, wire.Versions) }
 
-// raises are the versions of the fleet that this replica proposes: none above the one from which
-// on anything more is kept.
+// proposableVersions is the range of fleet versions that this replica proposes: up to the
+// last version that changes stored data, so that it stays possible to return to the
+// previous build.
 func (c *Control) proposableVersions() compat.Range {
 	out := c.versions()
 	out.Most = min(out.Most, compat.NewestStored)
 	return out
 }
 
-// addReplica takes that a link to a replica is open; false if that replica can't read what
-// this one holds. Callers hold the lock.
+// addReplicaLink adds an open link to a replica. It returns false if that replica can't
+// read what this one holds. Callers hold c.mu.
 func (c *Control) addReplicaLink(l *wire.Link) bool {
 	if !l.Peer.Range().Contains(c.requiredVersion) {
 		if c.rejectionLog.Allow(c.clock.Now(), "version "+l.Peer.Name) {
@@ -47,10 +48,10 @@
 	return true
 }
 
-// removeReplica takes that a link has ended. Callers hold the lock.
+// removeReplicaLink removes a link that has ended. Callers hold c.mu.
 func (c *Control) removeReplicaLink(l *wire.Link) { delete(c.replicaLinks, l) }
 
-// linked tells whether a link to a replica is open. Callers hold the lock.
+// hasLink reports whether a link to a replica is open. Callers hold c.mu.
 func (c *Control) hasLink(id string) bool {
 	for l := range c.replicaLinks {
 		if l.Peer.Name == id {
@@ -60,8 +61,9 @@
 	return false
 }
 
-// told returns what a replica told of its build: of all open links the one that reads least,
-// since one of them may be of a process that has just ended. Callers hold the lock.
+// helloOf returns what a replica reported about its build. Of all open links it uses the
+// one with the lowest version, since one of them may belong to a process that has just
+// ended. Callers hold c.mu.
 func (c *Control) helloOf(id string) (wire.Hello, bool) {
 	out, ok := c.lastHello[id]
 	for l := range c.replicaLinks {
@@ -72,9 +74,9 @@
 	return out, ok
 }
 
-// guard makes the data folder and the links safe for entries that raise the version, before
-// the first of them is written or sent: an older build would pass it over. Callers hold the
-// lock.
+// requireVersionOf protects the data folder and the links before entries that raise the
+// version are written or sent, since an older build would skip such an entry. Callers hold
+// c.mu.
 func (c *Control) requireVersionOf(r consensus.Ready) error {
 	version := c.state.Version()
 	for i := range r.Entries {
@@ -85,8 +87,8 @@
 	return c.requireVersion(version)
 }
 
-// guardFrom makes the data folder and the links safe for what needs a version. Callers hold
-// the lock.
+// requireVersion marks the data folder with a version and closes the links to replicas that
+// do not read it. Callers hold c.mu.
 func (c *Control) requireVersion(version int) error {
 	if version > c.requiredVersion {
 		c.requiredVersion = version
@@ -95,10 +97,10 @@
 	if c.disk == nil {
 		return nil
 	}
-	return c.disk.Fence(c.requiredVersion) // also after a disk that failed at it is back
+	return c.disk.Fence(c.requiredVersion) // repeated in case the disk failed at it before
 }
 
-// closeUnfit ends the links to replicas that don't read what this one holds.
+// closeIncompatibleLinks closes the links to replicas that don't read what this one holds.
 func (c *Control) closeIncompatibleLinks() {
 	for l := range c.replicaLinks {
 		if !l.Peer.Range().Contains(c.requiredVersion) {
@@ -108,7 +110,7 @@
 	}
 }
 
-// dropPeer has no packet sent on a link any more. Callers hold the lock.
+// detachLink stops sending packets on a link. Callers hold c.mu.
 func (c *Control) detachLink(l *wire.Link) {
 	for _, p := range c.peerLinks {
 		if p.link == l {
@@ -118,7 +120,7 @@
 }
 
 // joinable returns the identities that have a link here and read what this replica holds.
-// Callers hold the lock.
+// Callers hold c.mu.
 func (c *Control) joinable() []string {
 	var out []string
 	for id := range c.connected {
@@ -130,7 +132,8 @@
 	return out
 }
 
-// forgetTold drops what was told by identities that are gone. Callers hold the lock.
+// forgetHellos drops the hellos of identities that are neither members nor connected.
+// Callers hold c.mu.
 func (c *Control) forgetHellos(now time.Time) {
 	m := c.node.Status(now).Members
 	for id := range c.lastHello {
@@ -140,13 +143,13 @@
 	}
 }
 
-// refuseReplica keeps a link to a replica that is refused open for a while, without a report on
-// it: an older build tries again as soon as one ends.
+// holdRefusedLink keeps the link of a refused replica open for a while and ignores its
+// messages, since an older build reconnects as soon as a link ends.
 func (c *Control) holdRefusedLink(ctx context.Context, l *wire.Link) {
 	ctx, cancel := context.WithTimeout(ctx, refusedLinkTimeout)
 	defer cancel()
 	_ = l.Run(ctx, func(*wire.Message) {})
 }
 
-// refusedFor is longer than the silence that older builds bear.
+// refusedLinkTimeout is longer than the silence after which older builds close a link.
 const refusedLinkTimeout = 6 * time.Second
--- a/control/zones.go
+++ b/control/zones.go
@@ -8,8 +8,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// tellZones tells the links below which zones have room for which models.
-// Callers hold the lock.
+// sendZones sends the downstream links the free slots of each zone by model. Callers hold
+// c.mu.
 func (c *Control) sendZones() {
 	tree := c.store.Tree()
 	if tree == nil || len(c.zoneSummaries) < 2 {
@@ -27,7 +27,7 @@
 	c.sendDownstream(&wire.Message{Zones: out})
 }
 
-// room adds up the free slots of a zone.
+// freeSlots sums the free slots of a zone.
 func freeSlots(z *wire.Summary, roles map[string]string) wire.ZoneFree {
 	out := wire.ZoneFree{Zone: z.Zone, Prefill: map[string]int{}, Decode: map[string]int{}}
 	for _, s := range z.Servers {
@@ -45,9 +45,9 @@
 	return out
 }
 
-// lend answers a relay or an entry that asks for units of customers' limits.
-// Every replica lends: a relay that moves to another replica asks anew, and a
-// loan that is counted twice ends with its lifetime. Callers hold the lock.
+// lendQuota answers a relay or an entry that asks for units of customers' limits. Every
+// replica lends: a relay that moves to another replica asks again, and a loan that is
+// counted twice expires. Callers hold c.mu.
 func (c *Control) lendQuota(now time.Time, l *wire.Link, m *wire.Shares) {
 	tree := c.store.Tree()
 	if tree == nil {
