--- a/control/older_build_links_test.go
+++ b/control/older_build_links_test.go
@@ -16,7 +16,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// oldGateway opens a link to a replica with the hello of a gateway of an older build.
+// dialOldGateway opens a link to a replica with the hello of a gateway of an older build.
 func dialOldGateway(t *testing.T, n *node) *websocket.Conn {
 	t.Helper()
 	hello, err := os.ReadFile(filepath.Join("..", "wire", "testdata", "55b4ff8", "hello-gateway.cbor"))
@@ -28,9 +28,9 @@
 	return conn
 }
 
-// TestOldGatewaysAreServed wants a gateway of an older build to get the newest table and the
-// servers while another one, whose versions are apart, is refused beside it; and the group to
-// go on taking tables and reports.
+// TestOldGatewaysAreServed checks that a gateway of an older build receives the newest
+// table and the servers while a gateway with incompatible versions is refused, and that the
+// group continues to accept tables and reports.
 func TestOldGatewaysAreServed(t *testing.T) {
 	c := newCluster(t, 3)
 	c.put(1)
@@ -69,7 +69,8 @@
 					servers[s.ID] = true
 				}
 			}
-			// It shows life and asks for what it lacks, as gateways do.
+			// Like a gateway, it sends messages that keep the link alive and requests what
+			// it lacks.
 			if m.Routes != nil && m.Routes.Version > version {
 				ask, err := wire.Marshal(&wire.Message{Routes: &wire.Routes{Version: version}})
 				assert.NilError(t, err)
--- a/control/older_build_test.go
+++ b/control/older_build_test.go
@@ -14,7 +14,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// TestGoldenKnown wants a replica to know what one of build 55b4ff8 has kept beside its log.
+// TestReadsStateFilesOfOlderBuild checks that a replica restores what build 55b4ff8 saved
+// beside its log.
 func TestReadsStateFilesOfOlderBuild(t *testing.T) {
 	h := newHub(nil, "z1", quota.Bounds{})
 	now := clock.VM.Now()
@@ -45,7 +46,8 @@
 	assert.Equal(t, len(list[0].Endings), 2)
 }
 
-// TestGoldenIdentity wants a replica to go on under the identity that build 55b4ff8 gave it.
+// TestKeepsIdentityOfOlderBuild checks that a replica keeps the identity that build 55b4ff8
+// gave it.
 func TestKeepsIdentityOfOlderBuild(t *testing.T) {
 	c := &Control{cfg: Config{Name: "other", Dir: "testdata/55b4ff8/whole"}}
 	id, err := c.identity(false)
--- a/control/selfreport_test.go
+++ b/control/selfreport_test.go
@@ -13,8 +13,8 @@
 	"github.com/ledgepin/ledgepin/selfreport"
 )
 
-// TestOrdersDuringRetryAfter wants an engine that has asked this replica for a pause to get no call
-// until it is over, and pauses that are over to be forgotten.
+// TestNoCallsDuringRetryAfter checks that an engine that has asked this replica for a pause
+// gets no call until it ends, and that pauses that have ended are forgotten.
 func TestNoCallsDuringRetryAfter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := &pausedEngines{pauses: map[string]*selfreport.Pause{}}
@@ -28,8 +28,9 @@
 	assert.Equal(t, len(p.pauses), 1)
 }
 
-// TestAllHearOfALeavingServer has one gateway of 600 tell that a server leaves, while its heartbeats
-// say that it is ready: all hear of it once, and a heartbeat does not bring it back.
+// TestLeavingServerReachesAllGateways has one gateway of 600 report that a server is
+// leaving while the server's heartbeats report it ready. All gateways must be notified
+// once, and a heartbeat must not restore the server.
 func TestLeavingServerReachesAllGateways(t *testing.T) {
 	const gateways = 600
 	h := newHub(nil, "", quota.Bounds{})
@@ -55,7 +56,7 @@
 	assert.Equal(t, h.listServers()[0].State, registry.Draining)
 }
 
-// told returns how many reports of a server a gateway was told.
+// reportCount returns how many reports of a server the gateway has received.
 func (g *testGateway) reportCount(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/control/state_files_fuzz_test.go
+++ b/control/state_files_fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// FuzzKnownFiles wants a replica to start with whatever the files beside its log hold, and a
-// server that was right before to stay known.
+// FuzzStateFiles checks that a replica starts whatever the files beside its log contain,
+// and that a valid server stays listed.
 func FuzzStateFiles(f *testing.F) {
 	seed := func(m *wire.Message) {
 		data, err := wire.Marshal(m)
