--- a/ratelimit/demand.go
+++ b/ratelimit/demand.go
@@ -6,7 +6,7 @@
 )
 
 // askFor is how long the demand that a gateway or a replica has told counts.
-const askFor = time.Second
+const demandTTL = time.Second
 
 // Demand is what a gateway, or those of a replica together, would send to a service.
 type Demand struct {
@@ -38,59 +38,59 @@
 }
 
 // asker is what is known of an asker.
-type asker struct {
+type requester struct {
 	demand map[string]Demand
 	at     time.Time
 	// out are the tokens that were issued to it and have not ended, by service, and issued
 	// counts all of them; credit is how far it is behind the others.
-	out      map[string]*batches
-	issued   map[string]int
-	issuedAt time.Time
-	credit   map[string]float64
+	outstanding map[string]*batches
+	issued      map[string]int
+	issuedAt    time.Time
+	credit      map[string]float64
 }
 
 // SetDemand takes what an asker wants of all services.
 func (b *Broker) SetDemand(now time.Time, from Requester, demand map[string]Demand) {
-	a := b.askers[from]
-	if a == nil {
-		a = &asker{out: map[string]*batches{}, issued: map[string]int{}, credit: map[string]float64{}}
-		b.askers[from] = a
+	r := b.requesters[from]
+	if r == nil {
+		r = &requester{outstanding: map[string]*batches{}, issued: map[string]int{}, credit: map[string]float64{}}
+		b.requesters[from] = r
 	}
-	a.demand, a.at = demand, now
+	r.demand, r.at = demand, now
 	for service, d := range demand {
 		// Those that have not come by now are lost, and what came before a restart is not known.
-		if d.Received > a.issued[service] || now.Sub(a.issuedAt) >= TokenTTL {
-			a.issued[service] = d.Received
+		if d.Received > r.issued[service] || now.Sub(r.issuedAt) >= TokenTTL {
+			r.issued[service] = d.Received
 		}
 	}
 }
 
 // lacks returns the requests of an asker that wait and for which no token is on its way.
-func (a *asker) lacks(service string) int {
-	d := a.demand[service]
-	return d.Waiting - max(a.issued[service]-d.Received, 0)
+func (r *requester) unmet(service string) int {
+	d := r.demand[service]
+	return d.Waiting - max(r.issued[service]-d.Received, 0)
 }
 
 // Forget forgets an asker.
-func (b *Broker) Forget(from Requester) { delete(b.askers, from) }
+func (b *Broker) Forget(from Requester) { delete(b.requesters, from) }
 
 // Demand returns what the gateways of this replica want together, by service with a limit; of
 // the requests that wait those for which there is no token yet.
 func (b *Broker) Demand(now time.Time) map[string]Demand {
 	out := map[string]Demand{}
-	for from, a := range b.askers {
-		if from.Replica || now.Sub(a.at) >= askFor {
+	for from, r := range b.requesters {
+		if from.Replica || now.Sub(r.at) >= demandTTL {
 			continue
 		}
-		for service, d := range a.demand {
-			if d.Waiting = max(a.lacks(service), 0); d.Rate > 0 || d.Waiting > 0 {
+		for service, d := range r.demand {
+			if d.Waiting = max(r.unmet(service), 0); d.Rate > 0 || d.Waiting > 0 {
 				out[service] = out[service].Add(d)
 			}
 		}
 	}
 	for _, l := range b.limits {
 		if d, ok := out[l.service]; ok {
-			d.Waiting = max(d.Waiting-l.handed.live(now), 0)
+			d.Waiting = max(d.Waiting-l.fromPeers.live(now), 0)
 			out[l.service] = d
 		}
 	}
@@ -103,7 +103,7 @@
 func (b *Broker) PeerDemand(now time.Time) map[string]map[string]Demand {
 	out := map[string]map[string]Demand{}
 	demand := b.Demand(now)
-	b.asked++
+	b.rounds++
 	for service, owners := range b.owners() {
 		d, ok := demand[service]
 		if !ok {
@@ -113,12 +113,12 @@
 			if o == b.self {
 				continue
 			}
-			one := d
-			one.Waiting, one.Received = (d.Waiting+(i+b.asked)%len(owners))/len(owners), b.got[o][service]
+			peerDemand := d
+			peerDemand.Waiting, peerDemand.Received = (d.Waiting+(i+b.rounds)%len(owners))/len(owners), b.received[o][service]
 			if out[o] == nil {
 				out[o] = map[string]Demand{}
 			}
-			out[o][service] = one
+			out[o][service] = peerDemand
 		}
 	}
 	return out
@@ -128,8 +128,8 @@
 func (b *Broker) owners() map[string][]string {
 	out := map[string][]string{}
 	for server, l := range b.limits {
-		for _, m := range b.present {
-			if b.part(m, server, l.rate) > 0 && !slices.Contains(out[l.service], m) {
+		for _, m := range b.active {
+			if b.ownedRate(m, server, l.rate) > 0 && !slices.Contains(out[l.service], m) {
 				out[l.service] = append(out[l.service], m)
 			}
 		}
@@ -154,11 +154,11 @@
 		s.Rate += l.rate
 		out[l.service] = s
 	}
-	for _, a := range b.askers {
-		if now.Sub(a.at) >= askFor {
+	for _, r := range b.requesters {
+		if now.Sub(r.at) >= demandTTL {
 			continue
 		}
-		for service, d := range a.demand {
+		for service, d := range r.demand {
 			if s, ok := out[service]; ok {
 				s.Waiting += d.Waiting
 				out[service] = s
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -17,64 +17,66 @@
 }
 
 // tighter tells whether an observation allows less than another one.
-func (w Observation) tighter(o Observation) bool { return w.Limited && (!o.Limited || w.Rate < o.Rate) }
+func (o Observation) tighter(other Observation) bool {
+	return o.Limited && (!other.Limited || o.Rate < other.Rate)
+}
 
 // Same tells whether two observations allow as much.
-func (w Observation) Same(o Observation) bool {
-	return w.Limited == o.Limited && (!w.Limited || w.Rate == o.Rate)
+func (o Observation) Same(other Observation) bool {
+	return o.Limited == other.Limited && (!o.Limited || o.Rate == other.Rate)
 }
 
 // Times of a limit.
 const (
-	// settle is how long after an observation was heard the request must have been sent whose answer
+	// loosenMargin is how long after an observation was heard the request must have been sent whose answer
 	// allows more. Observations of other gateways are dated by how long they took to come, which is
 	// not known to some tenths of a second.
-	settle = 500 * time.Millisecond
-	// rampStep is the time in which the rate doubles after the end of a limit, and rampFor the
+	loosenMargin = 500 * time.Millisecond
+	// rampDoubling is the time in which the rate doubles after the end of a limit, and rampFor the
 	// time after which there is none: gateways that have kept away must not all come back at
 	// once.
-	rampStep = 250 * time.Millisecond
-	rampFor  = 2 * time.Second
+	rampDoubling = 250 * time.Millisecond
+	rampDuration = 2 * time.Second
 )
 
-// leastRate is the least number of requests a second that is sent to a limited server: only an
+// minRate is the least number of requests a second that is sent to a limited server: only an
 // answer tells that the limit has ended.
-const leastRate = 0.5
+const minRate = 0.5
 
 // Limit is what is known of the limit of one start of a server. The zero value is no limit.
 type Limit struct {
 	observed Observation
-	// before is the rate of the limit that ended at endedAt.
-	before  float64
-	endedAt time.Time
+	// previousRate is the rate of the limit that ended at endedAt.
+	previousRate float64
+	endedAt      time.Time
 }
 
 // Observe takes an observation at a time. Answers on separate connections overtake each other, so an observation
 // that allows more counts only if its request was sent after the limit was heard, and one that
 // allows less unless it was heard before the request of the newest observation was sent. It returns
 // whether what is allowed has changed.
-func (l *Limit) Observe(now time.Time, w Observation) bool {
-	if w.Same(l.observed) {
-		l.observed.Sent, l.observed.Received = latest(l.observed.Sent, w.Sent), latest(l.observed.Received, w.Received)
+func (l *Limit) Observe(now time.Time, o Observation) bool {
+	if o.Same(l.observed) {
+		l.observed.Sent, l.observed.Received = latest(l.observed.Sent, o.Sent), latest(l.observed.Received, o.Received)
 		return false
 	}
-	if w.tighter(l.observed) {
-		if !l.observed.Sent.IsZero() && !w.Received.After(l.observed.Sent) {
+	if o.tighter(l.observed) {
+		if !l.observed.Sent.IsZero() && !o.Received.After(l.observed.Sent) {
 			return false
 		}
-	} else if !l.Loosens(w) {
+	} else if !l.Loosens(o) {
 		return false
 	}
-	if !w.Limited {
-		l.before, l.endedAt = l.rate(), now
+	if !o.Limited {
+		l.previousRate, l.endedAt = l.rate(), now
 	}
-	l.observed = w
+	l.observed = o
 	return true
 }
 
 // Loosens tells whether an observation would allow more than what is known, and is newer.
-func (l *Limit) Loosens(w Observation) bool {
-	return !w.Same(l.observed) && !w.tighter(l.observed) && w.Sent.After(l.observed.Received.Add(settle))
+func (l *Limit) Loosens(o Observation) bool {
+	return !o.Same(l.observed) && !o.tighter(l.observed) && o.Sent.After(l.observed.Received.Add(loosenMargin))
 }
 
 func latest(a, b time.Time) time.Time {
@@ -88,7 +90,7 @@
 func (l *Limit) Newest() Observation { return l.observed }
 
 // rate returns what the newest observation allows, at least so much that the limit's end is noticed.
-func (l *Limit) rate() float64 { return max(l.observed.Rate, leastRate) }
+func (l *Limit) rate() float64 { return max(l.observed.Rate, minRate) }
 
 // Rate returns how many requests a second all gateways together may send; false if there is no
 // limit. After its end the rate rises for a while.
@@ -97,8 +99,8 @@
 		return l.rate(), true
 	}
 	since := now.Sub(l.endedAt)
-	if l.endedAt.IsZero() || since >= rampFor {
+	if l.endedAt.IsZero() || since >= rampDuration {
 		return 0, false
 	}
-	return l.before * math.Exp2(max(since, 0).Seconds()/rampStep.Seconds()), true
+	return l.previousRate * math.Exp2(max(since, 0).Seconds()/rampDoubling.Seconds()), true
 }
--- a/ratelimit/meter.go
+++ b/ratelimit/meter.go
@@ -6,7 +6,7 @@
 )
 
 // meterTime is the time of which a Meter tells.
-const meterTime = time.Second
+const meterWindow = time.Second
 
 // Meter tells how many requests a second came of late.
 type Meter struct {
@@ -16,11 +16,11 @@
 
 // Count counts a request.
 func (m *Meter) Count(now time.Time) {
-	m.rate = m.Rate(now) + 1/meterTime.Seconds()
+	m.rate = m.Rate(now) + 1/meterWindow.Seconds()
 	m.at = now
 }
 
 // Rate returns the requests a second.
 func (m *Meter) Rate(now time.Time) float64 {
-	return m.rate * math.Exp(-max(now.Sub(m.at), 0).Seconds()/meterTime.Seconds())
+	return m.rate * math.Exp(-max(now.Sub(m.at), 0).Seconds()/meterWindow.Seconds())
 }
--- a/ratelimit/tokens.go
+++ b/ratelimit/tokens.go
@@ -16,8 +16,8 @@
 // batch is some tokens that end together.
 type batch struct {
 	Token
-	tokens int
-	until  time.Time
+	tokens    int
+	expiresAt time.Time
 }
 
 // batches are tokens, in the order in which they came.
@@ -27,7 +27,7 @@
 func (b *batches) live(now time.Time) int {
 	n, kept := 0, (*b)[:0]
 	for _, t := range *b {
-		if t.tokens > 0 && now.Before(t.until) {
+		if t.tokens > 0 && now.Before(t.expiresAt) {
 			kept = append(kept, t)
 			n += t.tokens
 		}
@@ -38,7 +38,7 @@
 
 // add adds tokens to those that came before.
 func (b *batches) add(t batch) {
-	if n := len(*b); n > 0 && (*b)[n-1].Token == t.Token && (*b)[n-1].until.Equal(t.until) {
+	if n := len(*b); n > 0 && (*b)[n-1].Token == t.Token && (*b)[n-1].expiresAt.Equal(t.expiresAt) {
 		(*b)[n-1].tokens += t.tokens
 		return
 	}
@@ -52,7 +52,7 @@
 	}
 	first := 0
 	for i, t := range *b {
-		if t.until.Before((*b)[first].until) {
+		if t.expiresAt.Before((*b)[first].expiresAt) {
 			first = i
 		}
 	}
@@ -65,40 +65,40 @@
 // Allowance is what one gateway may send to one limited server. The zero value allows nothing.
 type Allowance struct {
 	tokens batches
-	// alone is the part of the rate that the gateway may use by itself while it gets no
-	// tokens, level what has come of that since levelAt.
-	alone, level float64
-	levelAt      time.Time
+	// fallbackRate is the part of the rate that the gateway may use by itself while it gets no
+	// tokens, fallbackTokens what has come of that since levelAt.
+	fallbackRate, fallbackTokens float64
+	fallbackAt                   time.Time
 	// owed are requests that were sent without a token.
-	owed int
+	debt int
 }
 
 // Grant adds tokens that hold for a time.
 func (a *Allowance) Grant(now time.Time, t Token, tokens int, d time.Duration) {
 	a.tokens.live(now)
-	paid := min(a.owed, tokens)
-	a.owed -= paid
+	paid := min(a.debt, tokens)
+	a.debt -= paid
 	a.tokens.add(batch{t, tokens - paid, now.Add(min(d, TokenTTL))})
 }
 
 // ForceTake counts a request that was sent without asking: a token pays for it, or the next one does.
 func (a *Allowance) ForceTake(now time.Time) {
 	if !a.Take(now) {
-		a.owed++
+		a.debt++
 	}
 }
 
 // ReleaseSurplus takes back the tokens that are not spare and for which no requests are expected, where
 // so many come a second.
 func (a *Allowance) ReleaseSurplus(now time.Time, rate float64) []Release {
-	surplus := a.tokens.live(now) - expected(rate)
+	surplus := a.tokens.live(now) - expectedRequests(rate)
 	var out []Release
 	for i := range a.tokens {
 		t := &a.tokens[i]
 		if n := min(surplus, t.tokens); n > 0 && !t.Spare {
 			t.tokens -= n
 			surplus -= n
-			out = append(out, Release{Owner: t.Owner, Tokens: n, TTL: t.until.Sub(now)})
+			out = append(out, Release{Owner: t.Owner, Tokens: n, TTL: t.expiresAt.Sub(now)})
 		}
 	}
 	return out
@@ -106,7 +106,7 @@
 
 // expected is how many requests are sure to come while a token holds, where so many come a
 // second.
-func expected(rate float64) int { return int(rate * TokenTTL.Seconds()) }
+func expectedRequests(rate float64) int { return int(rate * TokenTTL.Seconds()) }
 
 // Release is tokens that are given back.
 type Release struct {
@@ -119,25 +119,25 @@
 // SetFallbackRate takes the requests a second that the gateway may send without tokens: zero while
 // somebody issues them.
 func (a *Allowance) SetFallbackRate(now time.Time, rate float64) {
-	a.settle(now)
+	a.refill(now)
 	if rate <= 0 {
-		a.level = 0
+		a.fallbackTokens = 0
 	}
-	a.alone = rate
+	a.fallbackRate = rate
 }
 
 // settle counts what has come of the gateway's own part, which is one request at most.
-func (a *Allowance) settle(now time.Time) {
-	if a.alone > 0 {
-		a.level = min(a.level+a.alone*now.Sub(a.levelAt).Seconds(), 1)
+func (a *Allowance) refill(now time.Time) {
+	if a.fallbackRate > 0 {
+		a.fallbackTokens = min(a.fallbackTokens+a.fallbackRate*now.Sub(a.fallbackAt).Seconds(), 1)
 	}
-	a.levelAt = now
+	a.fallbackAt = now
 }
 
 // Allows tells whether one more request may be sent now.
 func (a *Allowance) Allows(now time.Time) bool {
-	a.settle(now)
-	return a.tokens.live(now) > 0 || a.level >= 1
+	a.refill(now)
+	return a.tokens.live(now) > 0 || a.fallbackTokens >= 1
 }
 
 // Take counts a request; false if none may be sent.
@@ -145,10 +145,10 @@
 	if _, ok := a.tokens.take(now); ok {
 		return true
 	}
-	a.settle(now)
-	if a.level < 1 {
+	a.refill(now)
+	if a.fallbackTokens < 1 {
 		return false
 	}
-	a.level--
+	a.fallbackTokens--
 	return true
 }
