--- a/quota/broker.go
+++ b/quota/broker.go
@@ -26,50 +26,50 @@
 // LeaseTTL is how long a loan counts after the holder was last heard of.
 const LeaseTTL = 15 * time.Second
 
-type loan struct {
+type lease struct {
 	units, want int
-	until       time.Time
+	expiresAt   time.Time
 }
 
 // sparePart is the part of the free units that a holder gets even if it wants
 // less, so that a burst needs no wait while there is plenty.
-const sparePart = 8
+const freeFraction = 8
 
 // Broker lends units to holders below.
 type Broker struct {
-	loans map[string]map[string]loan // by customer and holder
+	leases map[string]map[string]lease // by customer and holder
 }
 
 // NewBroker returns a broker without loans.
-func NewBroker() *Broker { return &Broker{loans: map[string]map[string]loan{}} }
+func NewBroker() *Broker { return &Broker{leases: map[string]map[string]lease{}} }
 
 // Lease answers a holder: at most total units of a customer are on loan.
 func (b *Broker) Lease(now time.Time, holder string, a Ask, total int) Grant {
-	of := b.loans[a.Customer]
-	if of == nil {
-		of = map[string]loan{}
-		b.loans[a.Customer] = of
+	byHolder := b.leases[a.Customer]
+	if byHolder == nil {
+		byHolder = map[string]lease{}
+		b.leases[a.Customer] = byHolder
 	}
 	free := total
-	for name, l := range of {
+	for name, l := range byHolder {
 		switch {
 		case name == holder:
-		case now.After(l.until):
-			delete(of, name)
+		case now.After(l.expiresAt):
+			delete(byHolder, name)
 		default:
 			free -= l.units
 		}
 	}
-	units := min(max(a.Want, free/sparePart), max(free, 0))
+	units := min(max(a.Want, free/freeFraction), max(free, 0))
 	if a.Want <= 0 {
 		units = 0
 	}
-	of[holder] = loan{units, a.Want, now.Add(LeaseTTL)}
+	byHolder[holder] = lease{units, a.Want, now.Add(LeaseTTL)}
 	if a.Want == 0 {
-		delete(of, holder)
+		delete(byHolder, holder)
 	}
-	if len(of) == 0 {
-		delete(b.loans, a.Customer)
+	if len(byHolder) == 0 {
+		delete(b.leases, a.Customer)
 	}
 	return Grant{a.Customer, units}
 }
@@ -77,8 +77,8 @@
 // Leased returns the units of a customer that are on loan.
 func (b *Broker) Leased(now time.Time, customer string) int {
 	sum := 0
-	for _, l := range b.loans[customer] {
-		if !now.After(l.until) {
+	for _, l := range b.leases[customer] {
+		if !now.After(l.expiresAt) {
 			sum += l.units
 		}
 	}
@@ -89,8 +89,8 @@
 // may be more than they got.
 func (b *Broker) Wanted(now time.Time, customer string) int {
 	sum := 0
-	for _, l := range b.loans[customer] {
-		if !now.After(l.until) {
+	for _, l := range b.leases[customer] {
+		if !now.After(l.expiresAt) {
 			sum += l.want
 		}
 	}
@@ -99,8 +99,8 @@
 
 // Customers lists the customers that have loans.
 func (b *Broker) Customers() []string {
-	out := make([]string, 0, len(b.loans))
-	for c := range b.loans {
+	out := make([]string, 0, len(b.leases))
+	for c := range b.leases {
 		out = append(out, c)
 	}
 	sort.Strings(out)
@@ -113,7 +113,7 @@
 
 // firstPart is the part of a customer's fleet-wide limit that an entry allows
 // before its first wish has been answered.
-const firstPart = 4
+const initialFraction = 4
 
 // Holder keeps what one entry may use of each customer.
 type Holder struct {
@@ -126,12 +126,12 @@
 
 // Limit returns how many open requests of a customer are allowed here; fleet is
 // its limit in the fleet.
-func (h *Holder) Limit(customer string, fleet int) int {
+func (h *Holder) Limit(customer string, fleetLimit int) int {
 	units, known := h.units[customer]
 	if !known {
-		units = fleet / firstPart
+		units = fleetLimit / initialFraction
 	}
-	return max(units, min(MinUnits, fleet))
+	return max(units, min(MinUnits, fleetLimit))
 }
 
 // NeedsMore tells whether so many open requests of a customer call for a new wish.
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -17,19 +17,19 @@
 	limit Limit
 	// used is what all have used and alone what this gateway has, each less what
 	// has run off since; used is for the part share.
-	used, alone float64
-	share       float64
+	used, ownUsed float64
+	share         float64
 	// absent is what those had used who are not in the group that has the part.
-	absent float64
-	at     time.Time
+	absentUsed float64
+	at         time.Time
 	// untold is what this gateway has used and not told.
-	untold float64
-	toldAt time.Time
+	unreported float64
+	reportedAt time.Time
 	// asked is the size of the requests that were refused here and told when to come
 	// back, less what has run off since at the gateway's own part.
-	asked float64
+	refused float64
 	// cutOff tells that the gateway's own part counts, since it was not told for a time.
-	cutOff bool
+	disconnected bool
 	// credit is what could have run off while it was not told, had it known what was
 	// used; it counts against what it is told right after, at creditAt.
 	credit   float64
@@ -39,10 +39,10 @@
 // Limiter counts what organisations use.
 type Limiter struct {
 	bounds   Bounds
-	part     Share
+	share    Share
 	accounts map[string]*account
 	// told tells that this gateway has been told what all have used.
-	told bool
+	synced bool
 }
 
 // NewLimiter returns a limiter that has counted nothing yet. Since others may have
@@ -55,7 +55,7 @@
 // so; of an organisation without a limit nothing is counted.
 func (l *Limiter) SetLimits(now time.Time, limits map[string]Limit) {
 	for name, a := range l.accounts {
-		l.settle(now, a)
+		l.advance(now, a)
 		if limits[name].Rate <= 0 {
 			delete(l.accounts, name)
 		}
@@ -66,7 +66,7 @@
 		}
 		a := l.accounts[name]
 		if a == nil {
-			a = &account{used: l.bounds.start(limit) * l.part.Connected, alone: l.bounds.start(limit) * l.part.Disconnected, share: l.part.Connected, at: now, toldAt: now}
+			a = &account{used: l.bounds.initialUsage(limit) * l.share.Connected, ownUsed: l.bounds.initialUsage(limit) * l.share.Disconnected, share: l.share.Connected, at: now, reportedAt: now}
 			l.accounts[name] = a
 		}
 		a.limit = limit
@@ -75,20 +75,20 @@
 
 // SetShare takes the part of the limits that this gateway may use. After a silence the
 // accounts are settled before it counts as over.
-func (l *Limiter) SetShare(now time.Time, p Share) {
-	if p.Connected == l.part.Connected && p.Disconnected == l.part.Disconnected && p.Updated.Sub(l.part.Updated) < tightFor {
-		l.part = p
+func (l *Limiter) SetShare(now time.Time, s Share) {
+	if s.Connected == l.share.Connected && s.Disconnected == l.share.Disconnected && s.Updated.Sub(l.share.Updated) < tightTimeout {
+		l.share = s
 		return
 	}
-	first := l.part.Disconnected == 0
+	first := l.share.Disconnected == 0
 	for _, a := range l.accounts {
-		l.settle(now, a)
+		l.advance(now, a)
 	}
-	l.part = p
+	l.share = s
 	for _, a := range l.accounts {
-		l.rescale(a, p.Connected)
+		l.rescale(a, s.Connected)
 		if first {
-			a.alone = l.bounds.start(a.limit) * p.Disconnected
+			a.ownUsed = l.bounds.initialUsage(a.limit) * s.Disconnected
 		}
 	}
 }
@@ -100,64 +100,64 @@
 func (l *Limiter) rescale(a *account, share float64) {
 	switch {
 	case a.share <= 0:
-		a.used = l.bounds.start(a.limit) * share
+		a.used = l.bounds.initialUsage(a.limit) * share
 	case share < a.share:
-		gone := a.used * (1 - share/a.share)
-		a.used -= gone
-		a.absent += gone
+		absent := a.used * (1 - share/a.share)
+		a.used -= absent
+		a.absentUsed += absent
 	case share > a.share && a.share < 1:
-		back := a.absent * min((share-a.share)/(1-a.share), 1)
-		a.used += back
-		a.absent -= back
+		returned := a.absentUsed * min((share-a.share)/(1-a.share), 1)
+		a.used += returned
+		a.absentUsed -= returned
 	}
 	a.share = share
 }
 
 // settle lets run off what was used. Where the gateway was not told any more meanwhile, as
 // much is left of its own part from then on as of the whole.
-func (l *Limiter) settle(now time.Time, a *account) {
-	lost := l.part.Updated.Add(tightFor)
-	if now.Before(lost) {
-		a.cutOff = false
-	} else if !a.cutOff {
-		l.runOff(lost, a)
-		a.cutOff = true
-		if room := l.bounds.room(a.limit) * a.share; room > 0 {
-			a.alone = max(a.alone, min(a.used/room, 1)*l.bounds.room(a.limit)*l.part.Disconnected)
+func (l *Limiter) advance(now time.Time, a *account) {
+	staleAt := l.share.Updated.Add(tightTimeout)
+	if now.Before(staleAt) {
+		a.disconnected = false
+	} else if !a.disconnected {
+		l.leak(staleAt, a)
+		a.disconnected = true
+		if capacity := l.bounds.capacity(a.limit) * a.share; capacity > 0 {
+			a.ownUsed = max(a.ownUsed, min(a.used/capacity, 1)*l.bounds.capacity(a.limit)*l.share.Disconnected)
 		}
 	}
-	l.runOff(now, a)
+	l.leak(now, a)
 }
 
-func (l *Limiter) runOff(now time.Time, a *account) {
+func (l *Limiter) leak(now time.Time, a *account) {
 	passed := now.Sub(a.at).Seconds()
 	if passed <= 0 {
 		return
 	}
 	a.at = now
-	gone := passed * l.bounds.rate(a.limit)
-	if a.cutOff {
-		a.credit += max(gone*a.share-a.used, 0)
+	leaked := passed * l.bounds.leakRate(a.limit)
+	if a.disconnected {
+		a.credit += max(leaked*a.share-a.used, 0)
 		a.creditAt = now
 	}
-	a.used = max(a.used-gone*a.share, 0)
-	own := gone * l.part.Disconnected
-	a.alone = max(a.alone-own, 0)
-	a.asked = max(a.asked-own, 0)
+	a.used = max(a.used-leaked*a.share, 0)
+	ownLeaked := leaked * l.share.Disconnected
+	a.ownUsed = max(a.ownUsed-ownLeaked, 0)
+	a.refused = max(a.refused-ownLeaked, 0)
 }
 
 // Charge counts a size whatever the limit is: of a request that runs once more. A size
 // below zero gives back what was counted for a request that did not run.
 func (l *Limiter) Charge(now time.Time, name string, size float64) {
 	if a := l.accounts[name]; a != nil {
-		l.settle(now, a)
-		a.count(size)
+		l.advance(now, a)
+		a.charge(size)
 	}
 }
 
 // heldUp is how long after a silence all that was held up may take to come. Until then what
 // others have used is set against what has run off meanwhile.
-const heldUp = 300 * time.Millisecond
+const catchUpTime = 300 * time.Millisecond
 
 // ChargeRemote counts what others have used. After a silence, as when this process was frozen,
 // it is told all of some seconds at once, which has partly run off since. It returns what
@@ -167,16 +167,16 @@
 	if a == nil {
 		return size
 	}
-	l.settle(now, a)
-	size -= a.late(now, size)
+	l.advance(now, a)
+	size -= a.takeCredit(now, size)
 	a.used = max(a.used+size, 0)
 	return size
 }
 
 // late returns how much of what others have used has run off already, and takes it from
 // the credit.
-func (a *account) late(now time.Time, size float64) float64 {
-	if now.Sub(a.creditAt) > heldUp {
+func (a *account) takeCredit(now time.Time, size float64) float64 {
+	if now.Sub(a.creditAt) > catchUpTime {
 		a.credit = 0
 	}
 	out := min(max(size, 0), a.credit)
@@ -188,54 +188,54 @@
 // What is known here stays if it is more, but for what was assumed at the start.
 func (l *Limiter) MergeUsage(now time.Time, used map[string]int) {
 	for name, a := range l.accounts {
-		l.settle(now, a)
-		told := float64(used[name]) * a.share
-		if l.told {
-			told = max(told, a.used)
+		l.advance(now, a)
+		total := float64(used[name]) * a.share
+		if l.synced {
+			total = max(total, a.used)
 		}
-		a.used = told
+		a.used = total
 	}
-	l.told = true
+	l.synced = true
 }
 
 // rejoinFor is for how long two sides of a cut use the whole limit side by side, until
 // they notice it, with a margin.
-const rejoinFor = time.Second
+const partitionDetection = time.Second
 
 // rejoin counts what others have used while they were cut from this process. Most of it
 // has run off: after a cut was noticed each side has kept to its part, so that together
 // not more is used than at the side that has used more of its own. Base is that, and what
 // comes in several pieces is held against the same one. It returns what was counted.
-func (l *Limiter) rejoin(now time.Time, used map[string]int, base map[string]float64) map[string]int {
+func (l *Limiter) mergeAfterPartition(now time.Time, used map[string]int, baseline map[string]float64) map[string]int {
 	out := map[string]int{}
 	for name, size := range used {
 		a := l.accounts[name]
 		if a == nil {
 			continue
 		}
-		l.settle(now, a)
+		l.advance(now, a)
 		before := a.used
-		most := max(base[name]+l.bounds.rate(a.limit)*rejoinFor.Seconds(), before)
-		a.used = max(min(before+float64(size)-a.late(now, float64(size)), most), 0)
+		maxUsed := max(baseline[name]+l.bounds.leakRate(a.limit)*partitionDetection.Seconds(), before)
+		a.used = max(min(before+float64(size)-a.takeCredit(now, float64(size)), maxUsed), 0)
 		out[name] = int(a.used - before)
 	}
 	return out
 }
 
 // usedNow returns what was used of the part that this process knows of.
-func (l *Limiter) usedNow(now time.Time) map[string]float64 {
+func (l *Limiter) connectedUsage(now time.Time) map[string]float64 {
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
-		l.settle(now, a)
+		l.advance(now, a)
 		out[name] = a.used
 	}
 	return out
 }
 
 // inPart returns levels that were told as those of the part that this process knows of.
-func (l *Limiter) inPart(told map[string]int) map[string]float64 {
-	out := make(map[string]float64, len(told))
-	for name, used := range told {
+func (l *Limiter) scaleToConnected(usage map[string]int) map[string]float64 {
+	out := make(map[string]float64, len(usage))
+	for name, used := range usage {
 		if a := l.accounts[name]; a != nil {
 			out[name] = float64(used) * a.share
 		}
@@ -247,8 +247,8 @@
 func (l *Limiter) Usage(now time.Time) map[string]int {
 	out := map[string]int{}
 	for name, a := range l.accounts {
-		l.settle(now, a)
-		if used := int(math.Round(a.used / max(a.share, leastShare))); used > 0 {
+		l.advance(now, a)
+		if used := int(math.Round(a.used / max(a.share, minShare))); used > 0 {
 			out[name] = used
 		}
 	}
@@ -256,4 +256,4 @@
 }
 
 // leastShare keeps what was used from growing without bound where no part is known.
-const leastShare = 0.001
+const minShare = 0.001
--- a/quota/tell.go
+++ b/quota/report.go
@@ -6,10 +6,10 @@
 )
 
 // tight tells whether some organisation has used more than half of its room.
-func (l *Limiter) tight(now time.Time) bool {
+func (l *Limiter) nearLimit(now time.Time) bool {
 	for _, a := range l.accounts {
-		l.settle(now, a)
-		if 2*a.used > l.bounds.room(a.limit)*a.share {
+		l.advance(now, a)
+		if 2*a.used > l.bounds.capacity(a.limit)*a.share {
 			return true
 		}
 	}
@@ -20,23 +20,23 @@
 const (
 	// tellPart is the part of the room left, of that of one gateway, from which on what
 	// was used is told at once: so much less is known to be left by all together.
-	tellPart = 32
+	reportFraction = 32
 	// tellEvery is how long it may wait else.
-	tellEvery = 400 * time.Millisecond
+	maxReportDelay = 400 * time.Millisecond
 )
 
 // worth tells whether a use that others have not heard of for a time has to be told.
-func (l *Limiter) worth(now time.Time, name string, untold float64, since time.Time) bool {
-	if untold == 0 {
+func (l *Limiter) shouldReport(now time.Time, name string, unreported float64, reportedAt time.Time) bool {
+	if unreported == 0 {
 		return false
 	}
 	a := l.accounts[name]
-	if a == nil || now.Sub(since) >= tellEvery {
+	if a == nil || now.Sub(reportedAt) >= maxReportDelay {
 		return true
 	}
-	l.settle(now, a)
-	left := l.bounds.room(a.limit)*a.share - a.used
-	return math.Abs(untold)*tellPart >= left*l.part.Disconnected
+	l.advance(now, a)
+	remaining := l.bounds.capacity(a.limit)*a.share - a.used
+	return math.Abs(unreported)*reportFraction >= remaining*l.share.Disconnected
 }
 
 // TakeUnreported returns what this gateway has used that has to be told now, by organisation;
@@ -44,16 +44,16 @@
 func (l *Limiter) TakeUnreported(now time.Time) map[string]int {
 	var out map[string]int
 	for name, a := range l.accounts {
-		if !l.worth(now, name, a.untold, a.toldAt) {
+		if !l.shouldReport(now, name, a.unreported, a.reportedAt) {
 			continue
 		}
 		if out == nil {
 			out = map[string]int{}
 		}
-		told := math.Trunc(a.untold)
-		out[name] = int(told)
-		a.untold -= told
-		a.toldAt = now
+		reported := math.Trunc(a.unreported)
+		out[name] = int(reported)
+		a.unreported -= reported
+		a.reportedAt = now
 	}
 	return out
 }
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -11,15 +11,15 @@
 // share is in proportion to the limit: that is what the operator says an organisation is
 // to have, and all use about the same part of it on an ordinary day.
 type FairShares struct {
-	weights map[string]float64
-	weight  float64
-	recent  map[string]*recent
+	weights     map[string]float64
+	totalWeight float64
+	recent      map[string]*decayingSum
 	// all is what all have used of late.
-	all recent
+	all decayingSum
 }
 
 // recent is an average that forgets.
-type recent struct {
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
@@ -27,62 +27,62 @@
 const (
 	// shareTime is the time over which use counts: some requests of a small organisation,
 	// and about the length of a run, which is what its room is taken for.
-	shareTime = 4 * time.Second
+	decayTime = 4 * time.Second
 	// beyondShare is how far above the mean use an organisation must be: those of a day
 	// without a burst of one differ by less.
-	beyondShare = 1.5
+	excessFactor = 1.5
 )
 
 // NewFairShares returns shares of no organisation.
-func NewFairShares() *FairShares { return &FairShares{recent: map[string]*recent{}} }
+func NewFairShares() *FairShares { return &FairShares{recent: map[string]*decayingSum{}} }
 
 // SetLimits takes the limits that shares are in proportion to.
-func (s *FairShares) SetLimits(limits map[string]Limit) {
-	s.weights, s.weight = map[string]float64{}, 0
+func (f *FairShares) SetLimits(limits map[string]Limit) {
+	f.weights, f.totalWeight = map[string]float64{}, 0
 	for name, limit := range limits {
 		if limit.Rate > 0 {
-			s.weights[name] = limit.Rate
-			s.weight += limit.Rate
+			f.weights[name] = limit.Rate
+			f.totalWeight += limit.Rate
 		}
 	}
-	for name := range s.recent {
-		if s.weights[name] == 0 {
-			delete(s.recent, name)
+	for name := range f.recent {
+		if f.weights[name] == 0 {
+			delete(f.recent, name)
 		}
 	}
 }
 
 // Add counts what an organisation uses, wherever it does.
-func (s *FairShares) Add(now time.Time, name string, size float64) {
-	if s.weights[name] == 0 {
+func (f *FairShares) Add(now time.Time, name string, size float64) {
+	if f.weights[name] == 0 {
 		return
 	}
-	r := s.recent[name]
+	r := f.recent[name]
 	if r == nil {
-		r = &recent{}
-		s.recent[name] = r
+		r = &decayingSum{}
+		f.recent[name] = r
 	}
 	r.add(now, size)
-	s.all.add(now, size)
+	f.all.add(now, size)
 }
 
 // Exceeds tells whether an organisation uses more than its share. One without a limit
 // never does, since what it uses is not told.
-func (s *FairShares) Exceeds(now time.Time, name string) bool {
-	r := s.recent[name]
+func (f *FairShares) Exceeds(now time.Time, name string) bool {
+	r := f.recent[name]
 	if r == nil {
 		return false
 	}
-	return r.value(now)/s.weights[name] > beyondShare*s.all.value(now)/s.weight
+	return r.value(now)/f.weights[name] > excessFactor*f.all.value(now)/f.totalWeight
 }
 
-func (r *recent) value(now time.Time) float64 {
-	if r.at.IsZero() {
+func (d *decayingSum) value(now time.Time) float64 {
+	if d.at.IsZero() {
 		return 0
 	}
-	return r.sum * math.Exp(-now.Sub(r.at).Seconds()/shareTime.Seconds())
+	return d.sum * math.Exp(-now.Sub(d.at).Seconds()/decayTime.Seconds())
 }
 
-func (r *recent) add(now time.Time, size float64) {
-	r.sum, r.at = max(r.value(now)+size, 0), now
+func (d *decayingSum) add(now time.Time, size float64) {
+	d.sum, d.at = max(d.value(now)+size, 0), now
 }
--- a/quota/take.go
+++ b/quota/take.go
@@ -24,19 +24,19 @@
 	if a == nil {
 		return Verdict{OK: true}
 	}
-	l.settle(now, a)
-	v := Verdict{Used: a.used, Capacity: l.bounds.room(a.limit) * a.share, Age: now.Sub(l.part.Updated), Unassigned: l.part.Updated.IsZero()}
-	v.Disconnected = a.cutOff && (a.used+size > v.Capacity/2 || v.Age >= looseFor)
+	l.advance(now, a)
+	v := Verdict{Used: a.used, Capacity: l.bounds.capacity(a.limit) * a.share, Age: now.Sub(l.share.Updated), Unassigned: l.share.Updated.IsZero()}
+	v.Disconnected = a.disconnected && (a.used+size > v.Capacity/2 || v.Age >= looseTimeout)
 	if v.Disconnected {
-		v.Used, v.Capacity = a.alone, l.bounds.room(a.limit)*l.part.Disconnected
-		l.takeAlone(a, &v, size, draw)
+		v.Used, v.Capacity = a.ownUsed, l.bounds.capacity(a.limit)*l.share.Disconnected
+		l.takeOwnShare(a, &v, size, draw)
 		return v
 	}
 	over := a.used + size - max(v.Capacity, size)
 	if v.OK = over <= 0; v.OK {
-		a.count(size)
+		a.charge(size)
 	} else {
-		v.RetryAfter = l.comeBack(a, size, over/max(a.share, leastShare))
+		v.RetryAfter = l.retryAfter(a, size, over/max(a.share, minShare))
 	}
 	return v
 }
@@ -44,38 +44,38 @@
 // takeAlone counts the size of a request against the gateway's own part. That may be less
 // than one request, so that of many gateways some take one and most none: one that has
 // used nothing draws, and pays what it could have had whether it wins or not.
-func (l *Limiter) takeAlone(a *account, v *Verdict, size, draw float64) {
-	over := a.alone + min(size, v.Capacity) - v.Capacity
+func (l *Limiter) takeOwnShare(a *account, v *Verdict, size, draw float64) {
+	over := a.ownUsed + min(size, v.Capacity) - v.Capacity
 	if over <= 0 && v.Capacity > 0 {
 		if size <= v.Capacity || draw*size < v.Capacity {
 			v.OK = true
-			a.count(size)
-			a.alone += min(v.Capacity-size, 0)
+			a.charge(size)
+			a.ownUsed += min(v.Capacity-size, 0)
 			return
 		}
-		a.alone += v.Capacity
+		a.ownUsed += v.Capacity
 		over = v.Capacity
 	}
-	v.RetryAfter = l.comeBack(a, size, over/max(l.part.Disconnected, leastShare))
+	v.RetryAfter = l.retryAfter(a, size, over/max(l.share.Disconnected, minShare))
 }
 
 // Times that refused callers are told.
 const (
-	leastWait   = 50 * time.Millisecond
-	longestWait = time.Hour
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Hour
 )
 
 // comeBack returns how long a refused request stays away: until the limit has room for
 // it, over units from now, and for those that were refused here before it.
-func (l *Limiter) comeBack(a *account, size, over float64) time.Duration {
-	rate := l.bounds.rate(a.limit)
-	wait := over/rate + a.asked/(rate*max(l.part.Disconnected, leastShare))
-	a.asked += size
-	return max(min(time.Duration(min(wait, longestWait.Seconds())*float64(time.Second)), longestWait), leastWait)
+func (l *Limiter) retryAfter(a *account, size, over float64) time.Duration {
+	rate := l.bounds.leakRate(a.limit)
+	wait := over/rate + a.refused/(rate*max(l.share.Disconnected, minShare))
+	a.refused += size
+	return max(min(time.Duration(min(wait, maxRetryAfter.Seconds())*float64(time.Second)), maxRetryAfter), minRetryAfter)
 }
 
-func (a *account) count(size float64) {
+func (a *account) charge(size float64) {
 	a.used = max(a.used+size, 0)
-	a.alone = max(a.alone+size, 0)
-	a.untold += size
+	a.ownUsed = max(a.ownUsed+size, 0)
+	a.unreported += size
 }
