--- a/warmup/lease.go
+++ b/warmup/lease.go
@@ -7,19 +7,19 @@
 
 // Lease is what a gateway may send to one cold server. The zero lease allows nothing.
 type Lease struct {
-	most  int
-	until time.Time
-	sent  []time.Time
+	maxPerSecond int
+	expiresAt    time.Time
+	sent         []time.Time
 }
 
 // Renew takes a lease that has just come.
-func (l *Lease) Renew(now time.Time, most int, d time.Duration) {
-	l.most, l.until = most, now.Add(min(d, LeaseTTL))
+func (l *Lease) Renew(now time.Time, maxPerSecond int, d time.Duration) {
+	l.maxPerSecond, l.expiresAt = maxPerSecond, now.Add(min(d, LeaseTTL))
 }
 
 // Allows tells whether one more request may be sent now.
 func (l *Lease) Allows(now time.Time) bool {
-	return now.Before(l.until) && l.recent(now) < l.most
+	return now.Before(l.expiresAt) && l.recent(now) < l.maxPerSecond
 }
 
 // CountSent counts a request.
