--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -14,12 +14,12 @@
 // Pause returns how long to wait after some failures in a row, for a random number of
 // [0, 1).
 func (b Backoff) Pause(failures int, random float64) time.Duration {
-	most := b.Min
+	maxPause := b.Min
 	for range failures {
-		if most = 2 * most; most >= b.Max {
-			most = b.Max
+		if maxPause = 2 * maxPause; maxPause >= b.Max {
+			maxPause = b.Max
 			break
 		}
 	}
-	return b.Min + time.Duration(random*float64(most-b.Min))
+	return b.Min + time.Duration(random*float64(maxPause-b.Min))
 }
