--- a/subset/subset.go
+++ b/subset/subset.go
@@ -18,10 +18,10 @@
 	// on average; all of a smaller group. With 32 of 64 engines a gateway's part was
 	// full while others had room, and 0.04 of all worth was lost by it; what it is told
 	// of 96 busy ones takes some 8 KB/s (worked out), within the 10 that a node may spend.
-	servers = 96
+	targetServers = 96
 	// gatewaysEach is the least number of gateways that a server should have, on
 	// average, so that next to none is left without.
-	gatewaysEach = 6
+	minGatewaysPerServer = 6
 )
 
 // Key is the number of a gateway or a server.
@@ -31,18 +31,18 @@
 func KeyOf(name string) Key { return Key(mix.Name(name)) }
 
 // wanted returns how many servers of a group a gateway works with, on average.
-func wanted(size, gateways int) int {
-	return min(max(servers, gatewaysEach*size/max(gateways, 1)), size)
+func subsetSize(size, gateways int) int {
+	return min(max(targetServers, minGatewaysPerServer*size/max(gateways, 1)), size)
 }
 
 // Includes tells whether a gateway works with a server of a group of a size, one
 // of a number of gateways.
 func Includes(gateway, server Key, size, gateways int) bool {
-	part := wanted(size, gateways)
-	if part >= size {
+	n := subsetSize(size, gateways)
+	if n >= size {
 		return true
 	}
-	bound := float64(part) / float64(size) * math.MaxUint64
+	bound := float64(n) / float64(size) * math.MaxUint64
 	return float64(mix.Pair(uint64(gateway), uint64(server))) < bound
 }
 
@@ -51,5 +51,5 @@
 	if size <= 0 {
 		return gateways
 	}
-	return max((gateways*wanted(size, gateways)+size-1)/size, 1)
+	return max((gateways*subsetSize(size, gateways)+size-1)/size, 1)
 }
