--- a/membudget/budget.go
+++ b/membudget/budget.go
@@ -26,7 +26,7 @@
 type Budget struct {
 	now func() time.Time
 	// slow is how long a caller may read its answer while others wait.
-	slow time.Duration
+	slowAfter time.Duration
 
 	mu       sync.Mutex
 	ledger   *ledger
@@ -36,24 +36,24 @@
 
 // New returns an empty budget. While others wait for memory, callers may take slow to read their
 // answers.
-func New(l Limits, slow time.Duration, now func() time.Time) *Budget {
-	return &Budget{now: now, slow: slow, ledger: newLedger(l), accounts: map[*entry]*Account{}}
+func New(l Limits, slowAfter time.Duration, now func() time.Time) *Budget {
+	return &Budget{now: now, slowAfter: slowAfter, ledger: newLedger(l), accounts: map[*entry]*Account{}}
 }
 
 // Account is what one request holds. All methods of a nil Account do nothing.
 type Account struct {
-	budget *Budget
-	entry  entry
-	cut    func()
+	budget  *Budget
+	entry   entry
+	preempt func()
 	// granted is told once what it waited for is there.
-	granted chan struct{}
-	cutOff  bool
+	granted   chan struct{}
+	preempted bool
 }
 
 // Open opens the account of a request. cut ends the write of its answer, from another goroutine
 // and without waiting; it is not called once the account is closed.
-func (b *Budget) Open(organisation string, cut func()) *Account {
-	a := &Account{budget: b, entry: entry{organisation: organisation}, cut: cut, granted: make(chan struct{}, 1)}
+func (b *Budget) Open(organisation string, preempt func()) *Account {
+	a := &Account{budget: b, entry: entry{organisation: organisation}, preempt: preempt, granted: make(chan struct{}, 1)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.accounts[&a.entry] = a
@@ -81,7 +81,7 @@
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	return !a.budget.ledger.tooMuch(&a.entry, n) && a.budget.ledger.take(&a.entry, n)
+	return !a.budget.ledger.exceedsRequestLimit(&a.entry, n) && a.budget.ledger.reserve(&a.entry, n)
 }
 
 // Reserve takes bytes, and waits until there is room.
@@ -89,42 +89,42 @@
 	if a == nil {
 		return nil
 	}
-	done, err := a.begin(n)
+	done, err := a.reserveOrQueue(n)
 	if done {
 		return err
 	}
-	t := time.NewTicker(a.budget.slow / 4)
+	t := time.NewTicker(a.budget.slowAfter / 4)
 	defer t.Stop()
 	for {
 		select {
 		case <-a.granted:
 			return nil
 		case <-ctx.Done():
-			return a.leave(ctx.Err())
+			return a.cancelWait(ctx.Err())
 		case <-t.C:
-			a.makeRoom()
+			a.preemptSlowest()
 		}
 	}
 }
 
 // begin takes bytes, or begins to wait for them.
-func (a *Account) begin(n int64) (bool, error) {
+func (a *Account) reserveOrQueue(n int64) (bool, error) {
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ledger.tooMuch(&a.entry, n) {
+	if b.ledger.exceedsRequestLimit(&a.entry, n) {
 		return true, ErrTooLarge
 	}
-	if b.ledger.take(&a.entry, n) {
+	if b.ledger.reserve(&a.entry, n) {
 		return true, nil
 	}
 	b.waits++
-	b.tell(b.ledger.wait(&a.entry, n))
+	b.notify(b.ledger.enqueue(&a.entry, n))
 	return false, nil
 }
 
 // leave ends a wait, unless what it was for has come meanwhile.
-func (a *Account) leave(err error) error {
+func (a *Account) cancelWait(err error) error {
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
 	select {
@@ -132,12 +132,12 @@
 		return nil
 	default:
 	}
-	a.budget.ledger.leave(&a.entry)
+	a.budget.ledger.dequeue(&a.entry)
 	return err
 }
 
 // makeRoom gives up a request whose caller reads slowly.
-func (a *Account) makeRoom() {
+func (a *Account) preemptSlowest() {
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -145,9 +145,9 @@
 	for e := range b.accounts {
 		all = append(all, e)
 	}
-	if e := b.ledger.slowest(&a.entry, all, b.now(), b.slow); e != nil && !b.accounts[e].cutOff {
-		b.accounts[e].cutOff = true
-		b.accounts[e].cut()
+	if e := b.ledger.slowest(&a.entry, all, b.now(), b.slowAfter); e != nil && !b.accounts[e].preempted {
+		b.accounts[e].preempted = true
+		b.accounts[e].preempt()
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	a.budget.tell(a.budget.ledger.give(&a.entry, n))
+	a.budget.notify(a.budget.ledger.release(&a.entry, n))
 }
 
 // StartWriting notes that the caller is given its answer from now on.
@@ -168,8 +168,8 @@
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	if a.entry.writing.IsZero() {
-		a.entry.writing = a.budget.now()
+	if a.entry.writingSince.IsZero() {
+		a.entry.writingSince = a.budget.now()
 	}
 }
 
@@ -180,7 +180,7 @@
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	if a.cutOff {
+	if a.preempted {
 		return ErrPreempted
 	}
 	return nil
@@ -194,11 +194,11 @@
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
 	delete(a.budget.accounts, &a.entry)
-	a.budget.tell(a.budget.ledger.end(&a.entry))
+	a.budget.notify(a.budget.ledger.close(&a.entry))
 }
 
 // tell wakes those that have got what they waited for.
-func (b *Budget) tell(granted []*entry) {
+func (b *Budget) notify(granted []*entry) {
 	for _, e := range granted {
 		b.accounts[e].granted <- struct{}{}
 	}
--- a/membudget/ledger.go
+++ b/membudget/ledger.go
@@ -13,7 +13,7 @@
 }
 
 // normal returns limits in which the part that is kept for one request is at most half of all.
-func (l Limits) normal() Limits {
+func (l Limits) normalized() Limits {
 	if l.Total <= 0 {
 		return Limits{Request: l.Request}
 	}
@@ -31,9 +31,9 @@
 	organisation string
 	held         int64
 	// wants are the bytes that it waits for.
-	wants int64
+	wanted int64
 	// writing is when its caller was given the first part of its answer; zero before.
-	writing time.Time
+	writingSince time.Time
 }
 
 // ledger decides who gets memory. It reads no clock and waits for nothing.
@@ -43,34 +43,34 @@
 	shared        int64
 	organisations map[string]int64
 	// favoured is the request that has the kept part.
-	favoured *entry
+	reserveHolder *entry
 	// waiting are those that lack room, the first that came in front.
 	waiting []*entry
 }
 
 func newLedger(l Limits) *ledger {
-	return &ledger{limits: l.normal(), organisations: map[string]int64{}}
+	return &ledger{limits: l.normalized(), organisations: map[string]int64{}}
 }
 
 // total returns the bytes that are held.
 func (l *ledger) total() int64 {
-	if l.favoured != nil {
-		return l.shared + l.favoured.held
+	if l.reserveHolder != nil {
+		return l.shared + l.reserveHolder.held
 	}
 	return l.shared
 }
 
 // tooMuch tells whether a request would hold more than one may.
-func (l *ledger) tooMuch(e *entry, n int64) bool {
+func (l *ledger) exceedsRequestLimit(e *entry, n int64) bool {
 	return l.limits.Request > 0 && e.held+n > l.limits.Request
 }
 
 // fits tells whether there is room for more bytes of a request.
 func (l *ledger) fits(e *entry, n int64) bool {
-	return l.limits.Total <= 0 || e == l.favoured || l.fitsAll(n) && l.fitsOrganisation(e, n)
+	return l.limits.Total <= 0 || e == l.reserveHolder || l.fitsTotal(n) && l.fitsOrganisation(e, n)
 }
 
-func (l *ledger) fitsAll(n int64) bool { return l.shared+n <= l.limits.Total-l.limits.Request }
+func (l *ledger) fitsTotal(n int64) bool { return l.shared+n <= l.limits.Total-l.limits.Request }
 
 // fitsOrganisation tells whether the organisation of a request may hold more. Requests of no
 // organisation share the total only.
@@ -79,18 +79,18 @@
 }
 
 // take counts bytes for a request, if there is room.
-func (l *ledger) take(e *entry, n int64) bool {
+func (l *ledger) reserve(e *entry, n int64) bool {
 	if !l.fits(e, n) {
 		return false
 	}
 	e.held += n
-	l.share(e, n)
+	l.addShared(e, n)
 	return true
 }
 
 // share counts bytes outside the kept part.
-func (l *ledger) share(e *entry, n int64) {
-	if e == l.favoured {
+func (l *ledger) addShared(e *entry, n int64) {
+	if e == l.reserveHolder {
 		return
 	}
 	l.shared += n
@@ -104,48 +104,48 @@
 
 // wait has a request wait for bytes, and returns who has room now: the first that waits is
 // favoured, so that it may be the request itself.
-func (l *ledger) wait(e *entry, n int64) []*entry {
-	e.wants = n
+func (l *ledger) enqueue(e *entry, n int64) []*entry {
+	e.wanted = n
 	l.waiting = append(l.waiting, e)
-	return l.grant()
+	return l.grantWaiting()
 }
 
 // give takes bytes of a request back, and returns who has room now.
-func (l *ledger) give(e *entry, n int64) []*entry {
+func (l *ledger) release(e *entry, n int64) []*entry {
 	e.held -= n
-	l.share(e, -n)
-	return l.grant()
+	l.addShared(e, -n)
+	return l.grantWaiting()
 }
 
 // end takes all of a request back, and returns who has room now.
-func (l *ledger) end(e *entry) []*entry {
+func (l *ledger) close(e *entry) []*entry {
 	l.waiting = slices.DeleteFunc(l.waiting, func(o *entry) bool { return o == e })
-	l.share(e, -e.held)
-	e.held, e.wants = 0, 0
-	if l.favoured == e {
-		l.favoured = nil
+	l.addShared(e, -e.held)
+	e.held, e.wanted = 0, 0
+	if l.reserveHolder == e {
+		l.reserveHolder = nil
 	}
-	return l.grant()
+	return l.grantWaiting()
 }
 
 // leave ends the wait of a request.
-func (l *ledger) leave(e *entry) {
+func (l *ledger) dequeue(e *entry) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(o *entry) bool { return o == e })
-	e.wants = 0
+	e.wanted = 0
 }
 
 // grant gives room to those that wait, and returns who has got it.
-func (l *ledger) grant() []*entry {
-	l.unfavour()
+func (l *ledger) grantWaiting() []*entry {
+	l.freeReserve()
 	var granted []*entry
 	l.waiting = slices.DeleteFunc(l.waiting, func(e *entry) bool {
-		if l.favoured == nil && !l.fits(e, e.wants) {
-			l.favour(e)
+		if l.reserveHolder == nil && !l.fits(e, e.wanted) {
+			l.grantReserve(e)
 		}
-		if !l.take(e, e.wants) {
+		if !l.reserve(e, e.wanted) {
 			return false
 		}
-		e.wants = 0
+		e.wanted = 0
 		granted = append(granted, e)
 		return true
 	})
@@ -153,32 +153,32 @@
 }
 
 // favour gives a request the kept part, and counts there what it holds.
-func (l *ledger) favour(e *entry) {
-	l.share(e, -e.held)
-	l.favoured = e
+func (l *ledger) grantReserve(e *entry) {
+	l.addShared(e, -e.held)
+	l.reserveHolder = e
 }
 
 // unfavour takes the kept part back once there is room for its request without it.
-func (l *ledger) unfavour() {
-	e := l.favoured
-	if e == nil || !l.fitsAll(e.held) || !l.fitsOrganisation(e, e.held) {
+func (l *ledger) freeReserve() {
+	e := l.reserveHolder
+	if e == nil || !l.fitsTotal(e.held) || !l.fitsOrganisation(e, e.held) {
 		return
 	}
-	l.favoured = nil
-	l.share(e, e.held)
+	l.reserveHolder = nil
+	l.addShared(e, e.held)
 }
 
 // slowest returns which of the requests gives up its memory for one that waits: of those whose
 // callers have been reading for longer than least, the one that began first; nil if there is
 // none. Where only the organisation of the one that waits lacks room, it is one of that.
-func (l *ledger) slowest(waits *entry, of []*entry, now time.Time, least time.Duration) *entry {
+func (l *ledger) slowest(waiter *entry, candidates []*entry, now time.Time, minReading time.Duration) *entry {
 	var out *entry
-	ownOnly := l.fitsAll(waits.wants)
-	for _, e := range of {
+	ownOnly := l.fitsTotal(waiter.wanted)
+	for _, e := range candidates {
 		switch {
-		case e == waits || e.held == 0 || e.writing.IsZero() || now.Sub(e.writing) < least:
-		case ownOnly && e.organisation != waits.organisation:
-		case out == nil || e.writing.Before(out.writing):
+		case e == waiter || e.held == 0 || e.writingSince.IsZero() || now.Sub(e.writingSince) < minReading:
+		case ownOnly && e.organisation != waiter.organisation:
+		case out == nil || e.writingSince.Before(out.writingSince):
 			out = e
 		}
 	}
