--- a/poison/digest.go
+++ b/poison/digest.go
@@ -41,7 +41,7 @@
 
 // shown is how many bytes of a digest a log line shows: enough to tell the contents of a
 // day apart.
-const shown = 6
+const logBytes = 6
 
 // String returns the beginning of the digest, for logs.
-func (d Digest) String() string { return hex.EncodeToString(d[:shown]) }
+func (d Digest) String() string { return hex.EncodeToString(d[:logBytes]) }
--- a/poison/table.go
+++ b/poison/table.go
@@ -12,15 +12,15 @@
 	// other. A whole run
 	// excuses a content, so a third ending without one is hardly chance; one more would
 	// cost a server and all that it runs.
-	blockAt = 3
+	blockThreshold = 3
 	// blockFor is how long a content is refused after the newest ending, keepFor how long
 	// an ending is remembered: whoever comes back later than the first is tried once, and
 	// refused again if that ends one more server.
-	blockFor = 10 * time.Minute
-	keepFor  = time.Hour
+	blockDuration = 10 * time.Minute
+	endingTTL     = time.Hour
 	// mostContents bounds the contents of a table: a zone of 200 servers with 50 runs each
 	// that loses power. It takes some 3 MB.
-	mostContents = 10_000
+	maxContents = 10_000
 )
 
 // Ending is one server that has ended under a content.
@@ -88,12 +88,12 @@
 		if !x.excused {
 			x.excused = true
 			e.endings[server] = x
-			t.change(e)
+			t.markChanged(e)
 		}
 	}
 }
 
-func (t *Table) change(e *entry) {
+func (t *Table) markChanged(e *entry) {
 	t.changes++
 	e.change = t.changes
 }
@@ -109,13 +109,13 @@
 		before := e.blockedFor(now) > 0
 		if e.merge(now, r.Endings) {
 			t.contents[r.Content] = e
-			t.change(e)
+			t.markChanged(e)
 		}
 		if !before && e.blockedFor(now) > 0 {
 			blocked = append(blocked, r.Content)
 		}
 	}
-	if len(t.contents) > mostContents {
+	if len(t.contents) > maxContents {
 		t.shrink()
 	}
 	return blocked
@@ -127,7 +127,7 @@
 func (e *entry) merge(now time.Time, list []Ending) bool {
 	changed := false
 	for _, x := range list {
-		if x.Age >= keepFor {
+		if x.Age >= endingTTL {
 			continue
 		}
 		old, known := e.endings[x.Server]
@@ -175,7 +175,7 @@
 // together one ending counts: when a rack loses its power, all that many callers ask at that
 // moment ends with several servers at once.
 func (e *entry) blockedFor(now time.Time) time.Duration {
-	if len(e.endings) < blockAt {
+	if len(e.endings) < blockThreshold {
 		return 0
 	}
 	list := make([]ending, 0, len(e.endings))
@@ -191,21 +191,21 @@
 			n, newest = n+1, x.at
 		}
 	}
-	if n < blockAt {
+	if n < blockThreshold {
 		return 0
 	}
-	return max(newest.Add(blockFor).Sub(now), 0)
+	return max(newest.Add(blockDuration).Sub(now), 0)
 }
 
 // Since returns what has changed after a number of changes, of contents with at least a
 // number of endings, and the number of changes that this covers.
-func (t *Table) Since(now time.Time, change uint64, least int) ([]Record, uint64) {
+func (t *Table) Since(now time.Time, change uint64, minEndings int) ([]Record, uint64) {
 	if change == t.changes {
 		return nil, change
 	}
 	var out []Record
 	for d, e := range t.contents {
-		if e.change <= change || len(e.endings) < least {
+		if e.change <= change || len(e.endings) < minEndings {
 			continue
 		}
 		r := Record{Content: d}
@@ -221,7 +221,7 @@
 // Sweep forgets what is too old to count.
 func (t *Table) Sweep(now time.Time) {
 	for d, e := range t.contents {
-		maps.DeleteFunc(e.endings, func(_ string, x ending) bool { return now.Sub(x.at) >= keepFor })
+		maps.DeleteFunc(e.endings, func(_ string, x ending) bool { return now.Sub(x.at) >= endingTTL })
 		if len(e.endings) == 0 {
 			delete(t.contents, d)
 		}
@@ -237,14 +237,14 @@
 		if n := len(x.endings) - len(y.endings); n != 0 {
 			return n
 		}
-		return x.newest().Compare(y.newest())
+		return x.newestEnding().Compare(y.newestEnding())
 	})
 	for _, d := range list[:len(list)/4] {
 		delete(t.contents, d)
 	}
 }
 
-func (e *entry) newest() time.Time {
+func (e *entry) newestEnding() time.Time {
 	var out time.Time
 	for _, x := range e.endings {
 		if x.at.After(out) {
