--- a/ratelimit/broker.go
+++ b/ratelimit/broker.go
@@ -8,48 +8,50 @@
 	"github.com/ledgepin/ledgepin/internal/mix"
 )
 
-// Times of a Broker.
+// Durations of a Broker.
 const (
-	// quiet is how long a broker issues nothing after its start: the tokens that another
-	// process of its replica has issued just before must have ended, and those that were held
-	// up on their way.
+	// startupDelay is how long a new broker issues no tokens: those that an earlier process of the
+	// same replica issued just before must have expired, including any that were delayed on their
+	// way.
 	startupDelay = TokenTTL + 400*time.Millisecond
-	// takeover is how long a replica must have been without a link before the others own its
-	// parts. Long before, it has noticed that it is cut off and issues nothing.
+	// takeoverDelay is how long a replica must have been disconnected before the others own its
+	// shares of the limits. The replica itself detects the partition long before that and stops
+	// issuing.
 	takeoverDelay = 3 * time.Second
-	// accrue bounds what accrues while nobody asks, beside one token: some rounds of Issue.
+	// accrualWindow bounds what accrues without demand, in addition to one token: a few rounds of
+	// Issue.
 	accrualWindow = 100 * time.Millisecond
 )
 
-// ownerRate is the rate from which on a limit has one owner more: so few that what has accrued
-// at all of them together is a small part of the limit.
+// ratePerOwner is the rate for which a limit gets one more owner. It keeps the number of owners so
+// low that the accrued tokens of all of them together are a small share of the limit.
 const ratePerOwner = 2.0
 
-// Grant is tokens for requests to a server.
+// Grant holds tokens for requests to one server.
 type Grant struct {
 	To     Requester
 	Server string
 	Token
 	Tokens int
-	// TTL is how long they hold.
+	// TTL is how long the tokens are valid.
 	TTL time.Duration
 }
 
-// Broker issues the tokens of one replica of control. Each limit is owned by some replicas in
-// equal parts, by their names, so that nobody has to agree on it. It is not safe for concurrent
-// use.
+// Broker issues the tokens of one replica of control. Each limit is owned in equal shares by some
+// of the replicas, chosen by a hash of their names, so that the replicas need no agreement on it. A
+// Broker isn't safe for concurrent use.
 type Broker struct {
 	self       string
 	quietUntil time.Time
-	// seen is when each replica was known to be there last, itself included; present are those
-	// that count, in order.
+	// seen is when each replica, including this one, was last connected; active lists the replicas
+	// that count as owners, sorted by name.
 	seen        map[string]time.Time
 	active      []string
 	partitioned bool
 	limits      map[string]*account
 	requesters  map[Requester]*requester
-	// got counts the tokens that each other replica has issued to this one, by service, and
-	// asked how often they were asked.
+	// received counts the tokens that each other replica has issued to this one, by service. rounds
+	// counts the calls of PeerDemand.
 	received map[string]map[string]int
 	rounds   int
 }
@@ -58,21 +60,21 @@
 type account struct {
 	service string
 	rate    float64
-	// level is what has accrued of this replica's part at a time, most what may.
+	// level is what has accrued of this replica's share up to levelAt; maxLevel is its bound.
 	level, maxLevel float64
 	levelAt         time.Time
-	// handed are tokens of other owners, for the gateways of this replica.
+	// fromPeers holds tokens issued by other owners for the gateways of this replica.
 	fromPeers batches
 }
 
-// NewBroker returns the broker of a replica that starts now.
+// NewBroker returns the broker of a replica that starts at now.
 func NewBroker(now time.Time, self string) *Broker {
 	return &Broker{self: self, quietUntil: now.Add(startupDelay), seen: map[string]time.Time{}, limits: map[string]*account{}, requesters: map[Requester]*requester{}, received: map[string]map[string]int{}}
 }
 
-// SetReplicas takes which replicas the group has and which of them are linked with this one, and
-// whether it is cut off from most of them: it issues nothing then, since the others may own its
-// parts.
+// SetReplicas sets the members of the group, the ones that this replica is linked with, and whether
+// it is partitioned from most of them. A partitioned replica issues no tokens, since the others may
+// already own its shares.
 func (b *Broker) SetReplicas(now time.Time, members, linked []string, partitioned bool) {
 	b.partitioned = partitioned
 	for _, m := range members {
@@ -91,7 +93,7 @@
 	slices.Sort(b.active)
 }
 
-// SetLimit takes that a server of a service takes so many requests a second.
+// SetLimit sets the limit of a server of a service, in requests per second.
 func (b *Broker) SetLimit(now time.Time, server, service string, rate float64) {
 	a := b.limits[server]
 	if a == nil {
@@ -102,10 +104,10 @@
 	a.service, a.rate = service, rate
 }
 
-// RemoveLimit takes that a server has no limit any more.
+// RemoveLimit removes the limit of a server.
 func (b *Broker) RemoveLimit(server string) { delete(b.limits, server) }
 
-// AddTokens takes tokens that another replica has issued to this one, for its gateways.
+// AddTokens adds tokens that another replica has issued to this one for its gateways.
 func (b *Broker) AddTokens(now time.Time, server string, t Token, tokens int, d time.Duration) {
 	a := b.limits[server]
 	if a == nil {
@@ -119,8 +121,8 @@
 	a.fromPeers.add(batch{t, tokens, now.Add(min(d, TokenTTL))})
 }
 
-// Release takes tokens that an asker gives back. Those of another replica go to it, unless
-// somebody here has use for them.
+// Release takes back tokens that a requester released. Issue returns tokens of other replicas to
+// their owners, unless a gateway of this replica can use them.
 func (b *Broker) Release(now time.Time, from Requester, rel Release) {
 	l := b.limits[rel.Server]
 	if l == nil || rel.Tokens <= 0 {
@@ -142,7 +144,7 @@
 	l.fromPeers.add(batch{Token{Owner: rel.Owner}, tokens, now.Add(min(rel.TTL, TokenTTL))})
 }
 
-// part returns the requests a second of a limit that a replica owns.
+// ownedRate returns the share of a limit that a replica owns, in requests per second.
 func (b *Broker) ownedRate(replica, server string, rate float64) float64 {
 	owners := min(max(int(rate/ratePerOwner), 1), len(b.active))
 	key := mix.Name(server)
@@ -158,7 +160,7 @@
 	return rate / float64(owners)
 }
 
-// settle counts what has accrued of this replica's part of a limit.
+// refill adds what has accrued of this replica's share of a limit.
 func (b *Broker) refill(now time.Time, server string, a *account) {
 	rate := b.ownedRate(b.self, server, a.rate)
 	if b.partitioned || now.Before(b.quietUntil) {
@@ -172,8 +174,8 @@
 	a.levelAt = now
 }
 
-// Issue returns the tokens that are to be told now, and those that other replicas get back. May
-// tells whether a gateway of this replica works with a server.
+// Issue returns the tokens to issue now, and those to release to other replicas. serves reports
+// whether a gateway of this replica sends requests to a server.
 func (b *Broker) Issue(now time.Time, serves func(gateway, server string) bool) ([]Grant, []Release) {
 	var out []Grant
 	var releases []Release
@@ -208,7 +210,7 @@
 	return out, releases
 }
 
-// issue notes a token and adds it to what is to be told.
+// issue records one issued token and adds it to the grants.
 func (b *Broker) issue(out []Grant, to Requester, service, server string, t batch, now time.Time) []Grant {
 	r := b.requesters[to]
 	if r.outstanding[service] == nil {
--- a/ratelimit/choose.go
+++ b/ratelimit/choose.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// choice is what decides who gets the next token for a server of a service.
+// criteria decides which requester gets the next token for a server of a service.
 type criteria struct {
 	service string
-	// may tells whether a gateway of this replica works with the server, replicas that other
-	// replicas get tokens too.
+	// serves reports whether a gateway of this replica sends requests to the server; toReplicas
+	// allows other replicas to get tokens too.
 	serves     func(gateway string) bool
 	toReplicas bool
-	// spare tells that the token would be lost, so that it goes to somebody who may use it.
-	// Others are kept for requests that wait or are sure to come.
+	// spare is set for a token that would otherwise be lost, so that it may go to a requester that
+	// only might use it. Other tokens are kept for requests that wait or are sure to arrive.
 	spare bool
 }
 
-// candidate is an asker that could use one more token.
+// candidate is a requester that could use one more token.
 type candidate struct {
 	to      Requester
 	r       *requester
@@ -28,9 +28,9 @@
 	weight  float64
 }
 
-// choose returns who gets the next token of a limit: who has requests that wait, the most urgent
-// first, and of these and of the others each in proportion to its requests. False if nobody could
-// use it.
+// choose returns the requester that gets the next token of a limit, and false if none could use it.
+// Requesters with waiting requests come first, in order of priority; requesters of equal rank get
+// tokens in proportion to their requests.
 func (b *Broker) choose(now time.Time, crit criteria) (Requester, bool) {
 	var list []candidate
 	for to, r := range b.requesters {
@@ -68,11 +68,11 @@
 	return best.to, true
 }
 
-// next is the credit that a candidate would have if it got nothing.
+// nextCredit returns the credit that a candidate has in this round before the token is charged.
 func (c *candidate) nextCredit(service string) float64 { return c.r.credit[service] + c.weight }
 
-// share adds to the credit of all candidates in proportion to their weight, and takes the sum off
-// that of the one that was chosen.
+// updateCredits adds to the credit of each candidate in proportion to its weight, and subtracts the
+// sum from that of the chosen one.
 func updateCredits(list []candidate, chosen candidate, service string) {
 	sum := 0.0
 	for _, c := range list {
--- a/ratelimit/demand.go
+++ b/ratelimit/demand.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// askFor is how long the demand that a gateway or a replica has told counts.
+// demandTTL is how long the reported demand of a gateway or a replica is valid.
 const demandTTL = time.Second
 
-// Demand is what a gateway, or those of a replica together, would send to a service.
+// Demand is what one gateway, or all gateways of a replica together, would send to a service.
 type Demand struct {
-	// Rate is the requests a second that came of late.
+	// Rate is the recent number of requests per second.
 	Rate float64
-	// Waiting are the requests that wait for a token, Priority is the rank of the most urgent
-	// one; the lowest is first.
+	// Waiting is the number of requests that wait for a token; Priority is the rank of the most
+	// urgent of them, the lowest first.
 	Waiting  int
 	Priority int
-	// Received counts the tokens that came from the replica that is asked, since it is: those that
-	// are on their way must not be issued once more.
+	// Received counts the tokens received from the replica that gets this demand, since the link to
+	// it opened: tokens in flight must not be issued twice.
 	Received int
 }
 
-// Add returns the demand of two together.
+// Add returns the sum of two demands.
 func (d Demand) Add(o Demand) Demand {
 	out := Demand{Rate: d.Rate + o.Rate, Waiting: d.Waiting + o.Waiting, Priority: d.Priority}
 	if d.Waiting == 0 || o.Waiting > 0 && o.Priority < d.Priority {
@@ -30,26 +30,26 @@
 	return out
 }
 
-// Requester is who tokens are issued to: a gateway that shares with this replica, or another
-// replica, which hands them to its gateways.
+// Requester is a receiver of tokens: a gateway connected to this replica, or another replica, which
+// passes them on to its gateways.
 type Requester struct {
 	Name    string
 	Replica bool
 }
 
-// asker is what is known of an asker.
+// requester is the state of one Requester.
 type requester struct {
 	demand map[string]Demand
 	at     time.Time
-	// out are the tokens that were issued to it and have not ended, by service, and issued
-	// counts all of them; credit is how far it is behind the others.
+	// outstanding holds the tokens issued to it that haven't expired, by service; issued counts all
+	// tokens issued to it. credit is how far it is behind the other requesters.
 	outstanding map[string]*batches
 	issued      map[string]int
 	issuedAt    time.Time
 	credit      map[string]float64
 }
 
-// SetDemand takes what an asker wants of all services.
+// SetDemand sets the demand of a requester for all services.
 func (b *Broker) SetDemand(now time.Time, from Requester, demand map[string]Demand) {
 	r := b.requesters[from]
 	if r == nil {
@@ -58,24 +58,25 @@
 	}
 	r.demand, r.at = demand, now
 	for service, d := range demand {
-		// Those that have not come by now are lost, and what came before a restart is not known.
+		// Tokens that haven't been received by now are lost, and tokens received before a restart
+		// of this process were not counted here.
 		if d.Received > r.issued[service] || now.Sub(r.issuedAt) >= TokenTTL {
 			r.issued[service] = d.Received
 		}
 	}
 }
 
-// lacks returns the requests of an asker that wait and for which no token is on its way.
+// unmet returns the number of waiting requests of a requester for which no token is in flight.
 func (r *requester) unmet(service string) int {
 	d := r.demand[service]
 	return d.Waiting - max(r.issued[service]-d.Received, 0)
 }
 
-// Forget forgets an asker.
+// Forget removes a requester.
 func (b *Broker) Forget(from Requester) { delete(b.requesters, from) }
 
-// Demand returns what the gateways of this replica want together, by service with a limit; of
-// the requests that wait those for which there is no token yet.
+// Demand returns the total demand of the gateways of this replica, by service with a limit. Its
+// Waiting excludes requests for which there is a token already.
 func (b *Broker) Demand(now time.Time) map[string]Demand {
 	out := map[string]Demand{}
 	for from, r := range b.requesters {
@@ -97,9 +98,9 @@
 	return out
 }
 
-// PeerDemand returns what the other replicas have to be asked for that own parts of limits, by replica.
-// Each request that waits is told to one of them, another one each time, so that it does not get
-// a token from several.
+// PeerDemand returns the demand to report to each of the other replicas that own shares of limits.
+// Each waiting request is reported to one of them, a different one in each round, so that it
+// doesn't get tokens from several.
 func (b *Broker) PeerDemand(now time.Time) map[string]map[string]Demand {
 	out := map[string]map[string]Demand{}
 	demand := b.Demand(now)
@@ -124,7 +125,7 @@
 	return out
 }
 
-// owners returns the replicas that own a part of some limit of each service, in order.
+// owners returns the replicas that own a share of some limit of each service, sorted by name.
 func (b *Broker) owners() map[string][]string {
 	out := map[string][]string{}
 	for server, l := range b.limits {
@@ -140,13 +141,14 @@
 	return out
 }
 
-// Supply is what the servers of a service that name limits take together, and what waits for it.
+// Supply is the total limit of the servers of a service that name one, in requests per second, and
+// the number of requests waiting for them.
 type Supply struct {
 	Rate    float64
 	Waiting int
 }
 
-// Supply returns what is known of each service with a limit.
+// Supply returns the supply of each service with a limit.
 func (b *Broker) Supply(now time.Time) map[string]Supply {
 	out := map[string]Supply{}
 	for _, l := range b.limits {
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,9 +1,10 @@
-// Package ratelimit bounds what all gateways together send to a backend server that names a
-// limit of requests a second in its answers.
+// Package ratelimit bounds the requests of all gateways together to a backend server that names a
+// limit of requests per second in its answers.
 //
-// No gateway knows in time what the others send, so nobody sends to such a server by its own
-// count: a request needs a token. Replicas of control own parts of each limit, and issue
-// tokens to the gateways that have requests. A token that is not used in time is lost.
+// No gateway knows in time what the others send, so a count of its own requests isn't enough: each
+// request to such a server needs a token. Replicas of control own shares of each limit, and issue
+// tokens to the gateways that have requests. A token that isn't used in time is lost.
 //
-// Both sides are plain state: the time is an argument, and what has to be told is returned.
+// The code of both sides has no I/O and no clock: it gets the time as an argument, and returns what
+// has to be sent.
 package ratelimit
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// Observation is what one answer of a server says of its limit.
+// Observation is what one answer of a server reports about the server's limit.
 type Observation struct {
-	// Limited tells that the answer names a limit, which is Rate requests a second from all
+	// Limited reports whether the answer names a limit, which is Rate requests per second from all
 	// gateways together.
 	Limited bool
 	Rate    float64
-	// Sent is when the request went out, Received when its answer came: the server said it in
-	// between.
+	// Sent is when the request was sent, Received when its answer arrived. The server set the limit
+	// at some time in between.
 	Sent, Received time.Time
 }
 
-// tighter tells whether an observation allows less than another one.
+// tighter reports whether an observation allows less than another one.
 func (o Observation) tighter(other Observation) bool {
 	return o.Limited && (!other.Limited || o.Rate < other.Rate)
 }
 
-// Same tells whether two observations allow as much.
+// Same reports whether two observations allow the same rate.
 func (o Observation) Same(other Observation) bool {
 	return o.Limited == other.Limited && (!o.Limited || o.Rate == other.Rate)
 }
 
-// Times of a limit.
+// Durations of a limit.
 const (
-	// loosenMargin is how long after an observation was heard the request must have been sent whose answer
-	// allows more. Observations of other gateways are dated by how long they took to come, which is
-	// not known to some tenths of a second.
+	// loosenMargin is how long after the receipt of an observation a request must have been sent
+	// for its answer to allow more. Observations of other gateways are dated by their estimated
+	// time in transit, which is uncertain by some tenths of a second.
 	loosenMargin = 500 * time.Millisecond
-	// rampDoubling is the time in which the rate doubles after the end of a limit, and rampFor the
-	// time after which there is none: gateways that have kept away must not all come back at
+	// rampDoubling is the time in which the allowed rate doubles after the end of a limit, and
+	// rampDuration the time after which the rate is unlimited: the gateways must not all return at
 	// once.
 	rampDoubling = 250 * time.Millisecond
 	rampDuration = 2 * time.Second
 )
 
-// minRate is the least number of requests a second that is sent to a limited server: only an
-// answer tells that the limit has ended.
+// minRate is the lowest rate, in requests per second, at which a limited server gets requests: only
+// an answer can report that the limit has ended.
 const minRate = 0.5
 
-// Limit is what is known of the limit of one start of a server. The zero value is no limit.
+// Limit is what is known about the limit of one incarnation of a server. The zero value is no
+// limit.
 type Limit struct {
 	observed Observation
 	// previousRate is the rate of the limit that ended at endedAt.
@@ -51,10 +52,10 @@
 	endedAt      time.Time
 }
 
-// Observe takes an observation at a time. Answers on separate connections overtake each other, so an observation
-// that allows more counts only if its request was sent after the limit was heard, and one that
-// allows less unless it was heard before the request of the newest observation was sent. It returns
-// whether what is allowed has changed.
+// Observe applies an observation and reports whether the allowed rate has changed. Answers on
+// separate connections overtake each other. An observation that allows more is therefore applied
+// only if its request was sent after the current limit was received, and one that allows less
+// unless it was received before the request of the newest observation was sent.
 func (l *Limit) Observe(now time.Time, o Observation) bool {
 	if o.Same(l.observed) {
 		l.observed.Sent, l.observed.Received = latest(l.observed.Sent, o.Sent), latest(l.observed.Received, o.Received)
@@ -74,7 +75,7 @@
 	return true
 }
 
-// Loosens tells whether an observation would allow more than what is known, and is newer.
+// Loosens reports whether an observation is newer and allows more than the current limit.
 func (l *Limit) Loosens(o Observation) bool {
 	return !o.Same(l.observed) && !o.tighter(l.observed) && o.Sent.After(l.observed.Received.Add(loosenMargin))
 }
@@ -89,11 +90,12 @@
 // Newest returns the newest observation.
 func (l *Limit) Newest() Observation { return l.observed }
 
-// rate returns what the newest observation allows, at least so much that the limit's end is noticed.
+// rate returns the rate that the newest observation allows, but at least minRate, so that the end
+// of the limit is noticed.
 func (l *Limit) rate() float64 { return max(l.observed.Rate, minRate) }
 
-// Rate returns how many requests a second all gateways together may send; false if there is no
-// limit. After its end the rate rises for a while.
+// Rate returns how many requests per second all gateways together may send, and false if there is
+// no limit. After the end of a limit the rate rises for rampDuration.
 func (l *Limit) Rate(now time.Time) (float64, bool) {
 	if l.observed.Limited {
 		return l.rate(), true
--- a/ratelimit/meter.go
+++ b/ratelimit/meter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// meterTime is the time of which a Meter tells.
+// meterWindow is the time constant of a Meter.
 const meterWindow = time.Second
 
-// Meter tells how many requests a second came of late.
+// Meter measures the recent rate of requests as an exponentially decaying average.
 type Meter struct {
 	rate float64
 	at   time.Time
@@ -20,7 +20,7 @@
 	m.at = now
 }
 
-// Rate returns the requests a second.
+// Rate returns the recent number of requests per second.
 func (m *Meter) Rate(now time.Time) float64 {
 	return m.rate * math.Exp(-max(now.Sub(m.at), 0).Seconds()/meterWindow.Seconds())
 }
--- a/ratelimit/tokens.go
+++ b/ratelimit/tokens.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// TokenTTL is how long a token holds from its issue on: one that comes late holds for less.
+// TokenTTL is how long a token is valid after its issue; one that arrives late is valid for less.
 const TokenTTL = 600 * time.Millisecond
 
-// Token is what a token is told with.
+// Token describes a token that was issued.
 type Token struct {
-	// Owner is the replica that issued it, which gets it back if there is no use for it.
+	// Owner is the replica that issued the token and gets it back if it isn't needed.
 	Owner string
-	// Spare tells that nobody waits for it, so that it is not given back.
+	// Spare marks a token that no request waits for, so that it isn't released.
 	Spare bool
 }
 
-// batch is some tokens that end together.
+// batch is a number of tokens that expire together.
 type batch struct {
 	Token
 	tokens    int
 	expiresAt time.Time
 }
 
-// batches are tokens, in the order in which they came.
+// batches holds tokens in the order of their arrival.
 type batches []batch
 
-// live drops what has ended and returns the number of the others.
+// live drops expired tokens and returns the number of the remaining ones.
 func (b *batches) live(now time.Time) int {
 	n, kept := 0, (*b)[:0]
 	for _, t := range *b {
@@ -36,7 +36,7 @@
 	return n
 }
 
-// add adds tokens to those that came before.
+// add appends tokens.
 func (b *batches) add(t batch) {
 	if n := len(*b); n > 0 && (*b)[n-1].Token == t.Token && (*b)[n-1].expiresAt.Equal(t.expiresAt) {
 		(*b)[n-1].tokens += t.tokens
@@ -45,7 +45,7 @@
 	*b = append(*b, t)
 }
 
-// take takes the token that ends first; false if there is none.
+// take removes the token that expires first, and returns false if there is none.
 func (b *batches) take(now time.Time) (batch, bool) {
 	if b.live(now) == 0 {
 		return batch{}, false
@@ -65,15 +65,15 @@
 // Allowance is what one gateway may send to one limited server. The zero value allows nothing.
 type Allowance struct {
 	tokens batches
-	// fallbackRate is the part of the rate that the gateway may use by itself while it gets no
-	// tokens, fallbackTokens what has come of that since levelAt.
+	// fallbackRate is the share of the rate that the gateway may use while it gets no tokens;
+	// fallbackTokens is what has accrued of it up to fallbackAt.
 	fallbackRate, fallbackTokens float64
 	fallbackAt                   time.Time
-	// owed are requests that were sent without a token.
+	// debt is the number of requests that were sent without a token.
 	debt int
 }
 
-// Grant adds tokens that hold for a time.
+// Grant adds tokens that are valid for d.
 func (a *Allowance) Grant(now time.Time, t Token, tokens int, d time.Duration) {
 	a.tokens.live(now)
 	paid := min(a.debt, tokens)
@@ -81,15 +81,16 @@
 	a.tokens.add(batch{t, tokens - paid, now.Add(min(d, TokenTTL))})
 }
 
-// ForceTake counts a request that was sent without asking: a token pays for it, or the next one does.
+// ForceTake counts a request that was sent without asking: it takes a token, or the next one
+// granted.
 func (a *Allowance) ForceTake(now time.Time) {
 	if !a.Take(now) {
 		a.debt++
 	}
 }
 
-// ReleaseSurplus takes back the tokens that are not spare and for which no requests are expected, where
-// so many come a second.
+// ReleaseSurplus removes and returns the tokens that aren't spare and for which no requests are
+// expected at the given rate of requests per second.
 func (a *Allowance) ReleaseSurplus(now time.Time, rate float64) []Release {
 	surplus := a.tokens.live(now) - expectedRequests(rate)
 	var out []Release
@@ -104,20 +105,20 @@
 	return out
 }
 
-// expected is how many requests are sure to come while a token holds, where so many come a
-// second.
+// expectedRequests returns how many requests are sure to arrive while a token is valid, at the
+// given rate per second.
 func expectedRequests(rate float64) int { return int(rate * TokenTTL.Seconds()) }
 
-// Release is tokens that are given back.
+// Release holds tokens that are returned to their owner.
 type Release struct {
 	Owner, Server string
 	Tokens        int
-	// TTL is how long they would have held.
+	// TTL is how much longer the tokens would have been valid.
 	TTL time.Duration
 }
 
-// SetFallbackRate takes the requests a second that the gateway may send without tokens: zero while
-// somebody issues them.
+// SetFallbackRate sets the requests per second that the gateway may send without tokens; zero while
+// tokens are issued.
 func (a *Allowance) SetFallbackRate(now time.Time, rate float64) {
 	a.refill(now)
 	if rate <= 0 {
@@ -126,7 +127,7 @@
 	a.fallbackRate = rate
 }
 
-// settle counts what has come of the gateway's own part, which is one request at most.
+// refill adds what has accrued of the gateway's fallback rate, up to one request.
 func (a *Allowance) refill(now time.Time) {
 	if a.fallbackRate > 0 {
 		a.fallbackTokens = min(a.fallbackTokens+a.fallbackRate*now.Sub(a.fallbackAt).Seconds(), 1)
@@ -134,13 +135,13 @@
 	a.fallbackAt = now
 }
 
-// Allows tells whether one more request may be sent now.
+// Allows reports whether one more request may be sent now.
 func (a *Allowance) Allows(now time.Time) bool {
 	a.refill(now)
 	return a.tokens.live(now) > 0 || a.fallbackTokens >= 1
 }
 
-// Take counts a request; false if none may be sent.
+// Take counts a request, and returns false if none may be sent.
 func (a *Allowance) Take(now time.Time) bool {
 	if _, ok := a.tokens.take(now); ok {
 		return true
