--- a/quota/bounds.go
+++ b/quota/bounds.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Limit is what an organisation may use: Rate units a second, and Burst units on top.
-// There is none if Rate is zero.
+// Limit is what an organisation may use: Rate units per second, and Burst units on top. A Rate of
+// zero means no limit.
 type Limit struct{ Rate, Burst float64 }
 
-// Bounds tell how use is judged: in no Window may it be above what the limit gives by
-// more than the share Overshoot and Slack units.
+// Bounds defines how use is judged: in no Window may it exceed what the limit allows by more than
+// the fraction Overshoot and Slack units.
 type Bounds struct {
 	Window           time.Duration
 	Overshoot, Slack float64
 }
 
-// Parts of the bounds that are kept for what is counted late, or lost when processes end.
+// Reserves of the bounds, for use that is counted late or lost when processes end.
 const (
-	// reserveShare is the part of the slack.
+	// reserveShare is the reserved fraction of the slack.
 	reserveShare = 1.0 / 2
-	// reserveFor is the time for which all may use a limit without being told of each
-	// other, at some times the rate: until news have passed two replicas or a cut is noticed.
+	// reserveTime is how long all gateways may use a limit without being notified of each other's
+	// use, at a few times the rate: until updates have passed two replicas or a partition is
+	// detected.
 	reserveTime = time.Second
 )
 
@@ -26,15 +27,14 @@
 	return reserveShare*b.Slack + l.Rate*reserveTime.Seconds()
 }
 
-// most returns what may be used in a window, but for the reserve.
+// windowMax returns what may be used in a window, without the reserve.
 func (b Bounds) windowMax(l Limit) float64 {
 	return (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Overshoot) + b.Slack - b.reserve(l)
 }
 
-// rate returns what runs off in a second: as much as lets somebody who always asks for
-// more have in each window what the limit gives in one, burst and all, if the bounds
-// allow that. At the bare rate it would be less, though nothing may be refused that lies
-// within the limit of the window.
+// leakRate returns how much use leaks away per second. A caller that always asks for more then gets
+// in each window what the limit allows in one, including the burst, if the bounds permit. At l.Rate
+// it would get less, but nothing within the limit of the window may be refused.
 func (b Bounds) leakRate(l Limit) float64 {
 	w := b.Window.Seconds()
 	if w <= 0 {
@@ -43,39 +43,41 @@
 	return max(min(l.Rate+l.Burst/w, (b.windowMax(l)-l.Burst)/w), l.Rate)
 }
 
-// room returns what a limit gives at once to somebody who has used nothing.
+// capacity returns what a limit allows at once if nothing was used before.
 func (b Bounds) capacity(l Limit) float64 {
 	return max(b.windowMax(l)-b.leakRate(l)*b.Window.Seconds(), l.Burst)
 }
 
-// start returns what is taken as used by somebody who knows nothing: an eighth of the reserve
-// is free.
+// initialUsage returns the use to assume as long as nothing is known: all but an eighth of the
+// reserve.
 func (b Bounds) initialUsage(l Limit) float64 { return max(b.capacity(l)-b.reserve(l)/8, 0) }
 
-// Share is the part of the limits that a gateway may use.
+// Share is the share of the limits that a gateway may use.
 type Share struct {
-	// Connected is that of all gateways that are told of each other, Disconnected what the
-	// gateway may use by itself while it is not told.
+	// Connected is the share of all gateways that receive each other's use, Disconnected the share
+	// that the gateway may use by itself while it receives no updates.
 	Connected, Disconnected float64
-	// Updated is when it was told last, even that there is nothing new.
+	// Updated is when the last update was received, including updates without changes.
 	Updated time.Time
 }
 
-// How long it counts that a gateway was told.
+// Timeouts of updates to gateways.
 const (
-	// tightFor is for organisations that have used more than half of their room: all
-	// gateways of a fleet that is cut up take what is left of the limit each until then.
-	// It is three of the steps in which a replica tells them.
+	// tightTimeout applies to organisations that have used more than half of their capacity: until
+	// then, each gateway of a partitioned fleet uses what remains of the limit. It is three update
+	// intervals of a replica.
 	tightTimeout = 150 * time.Millisecond
-	// looseFor is for the others. A packet that is lost is sent again after 200 ms.
+	// looseTimeout applies to all other organisations. It allows for a lost packet, which is sent
+	// again after 200 ms.
 	looseTimeout = 500 * time.Millisecond
-	// tellWithin is the longest time between two tellings if no organisation has used
-	// more than half of its room; else all are told at each step.
+	// maxUpdateInterval is the longest time between two updates while no organisation has used more
+	// than half of its capacity; otherwise each interval of the replica sends one.
 	maxUpdateInterval = 150 * time.Millisecond
 )
 
-// SplitLimit returns the parts of a limit for a group of gateways that are told of each
-// other, of so many in all. The parts of all groups together are the whole.
+// SplitLimit returns the shares of a limit for a group of gateways that receive each other's use,
+// and for one gateway by itself, out of all gateways. The shares of all groups add up to the whole
+// limit.
 func SplitLimit(connected, all int) (connectedShare, disconnectedShare float64) {
 	n := float64(max(all, connected, 1))
 	return float64(connected) / n, 1 / n
--- a/quota/broker.go
+++ b/quota/broker.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// A customer may have so many open requests in the fleet. Asking for each request would
-// put control on its path, so units are leased downwards: from control to the relay of an
-// availability zone, and from there to entries. A Holder asks ahead when it runs short and
-// gives back what it does not need; a Broker never has more on loan than it has itself,
-// counting loans until they end.
+// The number of open requests of a customer in the fleet is limited. Asking for each request would
+// put control on the request path, so units are leased downwards: from control to the relay of an
+// availability zone, and from there to entries. A Holder asks ahead when it runs short and releases
+// what it doesn't need. A Broker never leases more than it has itself, and counts leases until they
+// expire.
 
-// Ask is what a holder wants to have of one customer in all.
+// Ask is the total number of units of one customer that a holder asks for.
 type Ask struct {
 	Customer string `cbor:"1,keyasint"`
 	Want     int    `cbor:"2,keyasint"`
 }
 
-// Grant is what a holder has of one customer from now on.
+// Grant is the total number of units of one customer that a holder has from now on.
 type Grant struct {
 	Customer string `cbor:"1,keyasint"`
 	Units    int    `cbor:"2,keyasint"`
 }
 
-// LeaseTTL is how long a loan counts after the holder was last heard of.
+// LeaseTTL is how long a lease is valid after the last ask of its holder.
 const LeaseTTL = 15 * time.Second
 
 type lease struct {
@@ -31,19 +31,19 @@
 	expiresAt   time.Time
 }
 
-// sparePart is the part of the free units that a holder gets even if it wants
-// less, so that a burst needs no wait while there is plenty.
+// freeFraction is the divisor of the free units that a holder gets even if it asks for less, so
+// that a burst needn't wait while there are plenty.
 const freeFraction = 8
 
-// Broker lends units to holders below.
+// Broker leases units to holders.
 type Broker struct {
 	leases map[string]map[string]lease // by customer and holder
 }
 
-// NewBroker returns a broker without loans.
+// NewBroker returns a broker without leases.
 func NewBroker() *Broker { return &Broker{leases: map[string]map[string]lease{}} }
 
-// Lease answers a holder: at most total units of a customer are on loan.
+// Lease answers the ask of a holder; at most total units of a customer are leased.
 func (b *Broker) Lease(now time.Time, holder string, a Ask, total int) Grant {
 	byHolder := b.leases[a.Customer]
 	if byHolder == nil {
@@ -74,7 +74,7 @@
 	return Grant{a.Customer, units}
 }
 
-// Leased returns the units of a customer that are on loan.
+// Leased returns the number of units of a customer that are leased.
 func (b *Broker) Leased(now time.Time, customer string) int {
 	sum := 0
 	for _, l := range b.leases[customer] {
@@ -85,8 +85,8 @@
 	return sum
 }
 
-// Wanted returns the units of a customer that the holders want to have, which
-// may be more than they got.
+// Wanted returns the number of units of a customer that holders have asked for, which may exceed
+// what they got.
 func (b *Broker) Wanted(now time.Time, customer string) int {
 	sum := 0
 	for _, l := range b.leases[customer] {
@@ -97,7 +97,7 @@
 	return sum
 }
 
-// Customers lists the customers that have loans.
+// Customers returns the customers that have leases, sorted by name.
 func (b *Broker) Customers() []string {
 	out := make([]string, 0, len(b.leases))
 	for c := range b.leases {
@@ -107,25 +107,25 @@
 	return out
 }
 
-// MinUnits is the number of open requests of a customer that an entry always
-// allows, so that the first ones wait for nobody.
+// MinUnits is the number of open requests of a customer that an entry always allows, so that the
+// first requests don't wait for a grant.
 const MinUnits = 4
 
-// firstPart is the part of a customer's fleet-wide limit that an entry allows
-// before its first wish has been answered.
+// initialFraction is the divisor of a customer's fleet-wide limit that gives what an entry allows
+// before its first ask is answered.
 const initialFraction = 4
 
-// Holder keeps what one entry may use of each customer.
+// Holder holds the units that one entry may use of each customer.
 type Holder struct {
-	units map[string]int // as granted last; absent before the first answer
+	units map[string]int // as granted last; no entry before the first answer
 	asked map[string]int
 }
 
-// NewHolder returns a holder without loans.
+// NewHolder returns a holder without units.
 func NewHolder() *Holder { return &Holder{units: map[string]int{}, asked: map[string]int{}} }
 
-// Limit returns how many open requests of a customer are allowed here; fleet is
-// its limit in the fleet.
+// Limit returns how many open requests of a customer are allowed at this entry; fleetLimit is the
+// customer's limit in the fleet.
 func (h *Holder) Limit(customer string, fleetLimit int) int {
 	units, known := h.units[customer]
 	if !known {
@@ -134,13 +134,13 @@
 	return max(units, min(MinUnits, fleetLimit))
 }
 
-// NeedsMore tells whether so many open requests of a customer call for a new wish.
+// NeedsMore reports whether a customer with this number of open requests requires a new ask.
 func (h *Holder) NeedsMore(customer string, used int) bool {
 	return used > MinUnits/2 && 2*used > h.asked[customer]
 }
 
-// Asks returns what to ask for: twice what is in use, so that the next growth
-// needs no wait, and nothing of what is not needed any more.
+// Asks returns the asks to send: twice what is in use, so that growth needn't wait, and zero for
+// customers that need no units any more.
 func (h *Holder) Asks(used map[string]int) []Ask {
 	var out []Ask
 	for c, n := range used {
@@ -160,7 +160,7 @@
 	return out
 }
 
-// ApplyGrant takes the answer to a wish.
+// ApplyGrant applies the answer to an ask.
 func (h *Holder) ApplyGrant(g Grant) {
 	if h.asked[g.Customer] == 0 {
 		delete(h.units, g.Customer)
@@ -170,5 +170,5 @@
 	h.units[g.Customer] = g.Units
 }
 
-// Units returns what is on loan of a customer.
+// Units returns the number of units of a customer that were granted.
 func (h *Holder) Units(customer string) int { return h.units[customer] }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,9 +1,10 @@
-// Package quota bounds what organisations use, over many processes.
+// Package quota limits the use of organisations across many processes.
 //
-// A Limiter and a Ledger bound units a second with a burst, at the gateways and replicas of
-// control that serve a routing table: each gateway counts the whole limit, and is told what
-// the others have used. A Holder and a Broker bound open requests at entries, which lease
-// parts of a limit from control.
+// A Limiter and a Ledger limit units per second with a burst, at the gateways and the replicas of
+// control that serve a routing table: each gateway counts against the whole limit and is notified
+// of the use of the others. A Holder and a Broker limit open requests at entries, which lease units
+// of a limit from control.
 //
-// It is plain state: the time is an argument, and what has to be told is returned.
+// The package has no I/O and no clock: it gets the time as an argument, and returns what has to be
+// sent.
 package quota
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// A Ledger is what a replica of control knows of the use of limits. The gateways that
-// share with it tell it what organisations have used. It adds that up, tells the other
-// replicas the sums of its own gateways, and its gateways what all others have used. Only
-// what was used since is told, so that nothing that was used is forgotten when a gateway
-// or a replica ends. What is told grows with the organisations and the replicas, and at
-// no place with the square of the gateways.
+// Ledger tracks the use of limits at a replica of control. The gateways connected to the replica
+// report to it what organisations have used. It adds that up, sends the sums of its own gateways to
+// the other replicas, and sends to each gateway what all others have used. Only changes are sent,
+// so that no use is forgotten when a gateway or a replica ends. The volume of updates grows with
+// the number of organisations and of replicas, and nowhere with the square of the number of
+// gateways.
 type Ledger[K comparable] struct {
 	limiter *Limiter
-	// all is what was used since the replica has started, but for what had run off before
-	// it was told; own that at its own gateways.
+	// total is what was used since the start of the replica, without what had leaked away before it
+	// was reported; local is the part used at its own gateways.
 	total, local usageTotals
-	// gateways are those that share with this replica.
+	// gateways are the gateways connected to this replica.
 	gateways map[K]*gateway
-	// start tells this start of the replica from others; peers are the other replicas, by
-	// their start.
+	// incarnation distinguishes this run of the replica from earlier ones; peers holds the other
+	// replicas by their incarnation.
 	incarnation int64
 	peers       map[int64]*peer
-	// peak is the most gateways that were seen of late, at peakAt.
+	// peakGateways is the largest number of gateways that was seen recently, at peakAt.
 	peakGateways int
 	peakAt       time.Time
-	// group is the number of gateways that are told of each other, as it was worked out
-	// last, at dividedAt; until holdUntil it does not sink.
+	// connected is the number of gateways that receive each other's use, as computed last, at
+	// updatedAt; it doesn't decrease before holdUntil.
 	connected            int
 	updatedAt, holdUntil time.Time
-	// largeAt is when the group was last no larger than the peak.
+	// withinPeakAt is when connected was last at most peakGateways.
 	withinPeakAt time.Time
-	// together and alone are the parts of the limits that gateways may use.
+	// connectedShare and disconnectedShare are the shares of the limits that gateways may use.
 	connectedShare, disconnectedShare float64
-	// peersAt is when the other replicas were told.
+	// peersUpdatedAt is when the last update was sent to the other replicas.
 	peersUpdatedAt time.Time
 }
 
-// UsageUpdate is what processes tell each other about the use of limits.
+// UsageUpdate is an update on the use of limits, sent between processes.
 type UsageUpdate struct {
-	// Used is what was used since it was told last, by organisation; what is below zero
-	// is given back. If Whole, it is all that has not run off.
+	// Used is what was used since the last update, by organisation; a negative value is a refund.
+	// If Whole is set, it is all use that hasn't leaked away.
 	Used  map[string]int `cbor:"1,keyasint,omitempty"`
 	Whole bool           `cbor:"2,keyasint,omitempty"`
-	// Own is all that was used at the gateways of a replica since it has started, which
-	// Start tells. Replicas tell it each other when a link opens, so that what was used
-	// while they were cut from each other is counted after all.
+	// Own is all that was used at the gateways of a replica during its incarnation, which Start
+	// identifies. Replicas send it to each other when a link opens, so that use during a partition
+	// is counted.
 	Own   map[string]int `cbor:"5,keyasint,omitempty"`
 	Start int64          `cbor:"6,keyasint,omitempty"`
-	// Together is the part of the limits that all gateways may use which are told of each
-	// other, Alone that of one which is not. A replica tells it to gateways.
+	// Together is the share of the limits for all gateways that receive each other's use, Alone
+	// that of one gateway which receives no updates. Replicas send both to gateways.
 	Together float64 `cbor:"3,keyasint,omitempty"`
 	Alone    float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// sums are what was used by organisation, and how much of it was told, and when.
+// usageTotals holds use by organisation, how much of it was reported, and when.
 type usageTotals struct {
 	used, reported map[string]int
 	reportedAt     map[string]time.Time
@@ -64,7 +64,7 @@
 	return usageTotals{used: map[string]int{}, reported: map[string]int{}, reportedAt: map[string]time.Time{}}
 }
 
-// due returns what has to be told now, by organisation, and counts it as told.
+// takeDue returns the use to report now, by organisation, and marks it as reported.
 func (u *usageTotals) takeDue(now time.Time, l *Limiter) map[string]int {
 	var out map[string]int
 	for name, used := range u.used {
@@ -81,25 +81,25 @@
 	return out
 }
 
-// gateway is what the ledger knows of one gateway.
+// gateway is the ledger's state of one gateway.
 type gateway struct {
-	// used is what it has told, told what it was told that the others have used.
+	// used is what the gateway has reported, sent the use of the others that was sent to it.
 	used, sent map[string]int
-	// fresh tells that it was told nothing yet; together and alone are the parts that
-	// it was told last, at toldAt.
+	// unsynced is set until the first update is sent; connectedShare and disconnectedShare are the
+	// shares sent last, at updatedAt.
 	unsynced                          bool
 	connectedShare, disconnectedShare float64
 	updatedAt                         time.Time
 }
 
-// NewLedger returns a ledger that has counted nothing yet.
+// NewLedger returns a ledger without any use.
 func NewLedger[K comparable](now time.Time, b Bounds) *Ledger[K] {
 	out := &Ledger[K]{limiter: NewLimiter(b), total: newUsageTotals(), local: newUsageTotals(), gateways: map[K]*gateway{}, incarnation: now.UnixNano(), peers: map[int64]*peer{}}
 	out.limiter.SetShare(now, Share{Connected: 1, Disconnected: 1})
 	return out
 }
 
-// SetLimits puts the limits of a version of the settings in force.
+// SetLimits applies the limits of a version of the settings.
 func (l *Ledger[K]) SetLimits(now time.Time, limits map[string]Limit) {
 	l.limiter.SetLimits(now, limits)
 	for name := range l.total.used {
@@ -109,7 +109,7 @@
 	}
 }
 
-// forget drops the sums of an organisation that has no limit any more.
+// forget removes all totals of an organisation that has no limit any more.
 func (l *Ledger[K]) forget(name string) {
 	for _, s := range []usageTotals{l.total, l.local} {
 		delete(s.used, name)
@@ -125,15 +125,15 @@
 	}
 }
 
-// AddGateway begins to share with a gateway.
+// AddGateway adds a gateway that has connected to this replica.
 func (l *Ledger[K]) AddGateway(k K) {
 	l.gateways[k] = &gateway{used: map[string]int{}, sent: map[string]int{}, unsynced: true}
 }
 
-// RemoveGateway ends to share with a gateway. What it has used stays counted.
+// RemoveGateway removes a gateway that has disconnected. Its use stays counted.
 func (l *Ledger[K]) RemoveGateway(k K) { delete(l.gateways, k) }
 
-// AddUsage takes what a gateway that shares with this replica has used.
+// AddUsage counts the use that a connected gateway reports.
 func (l *Ledger[K]) AddUsage(now time.Time, k K, used map[string]int) {
 	for name, size := range used {
 		l.local.used[name] += size
@@ -150,15 +150,15 @@
 	}
 }
 
-// peakFor is how long gateways that are not seen any more count among all: those that are
-// cut off go on to use their parts of the limits.
+// peakTTL is how long disconnected gateways still count: partitioned gateways continue to use their
+// shares of the limits.
 const peakTTL = 60 * time.Second
 
-// UpdateShares works out the parts for a group of gateways that are told of each other, of so
-// many that are seen. A replica that is cut off from most of the others does not forget
-// those that it does not see. One that was frozen has heard nobody meanwhile: for a moment
-// it goes on with the group of before, or what the others have told would count as used by
-// a small part of them.
+// UpdateShares computes the shares from the number of connected gateways, which receive each
+// other's use, and the number of gateways seen by any replica. A replica that is partitioned from
+// most of the others doesn't forget the gateways that it can't see. A replica that was frozen has
+// received nothing in the meantime: it keeps the previous number for a moment, or use reported by
+// the others would count as use of a small share of them.
 func (l *Ledger[K]) UpdateShares(now time.Time, connected, seen int, partitioned bool) {
 	if now.Sub(l.updatedAt) > tightTimeout {
 		l.holdUntil = now.Add(catchUpTime)
@@ -176,8 +176,9 @@
 	l.limiter.SetShare(now, Share{Connected: l.connectedShare, Disconnected: 1, Updated: now})
 }
 
-// surely returns a group of more gateways than were seen once it has been there for a
-// while: one that goes from one replica to another counts at both for a moment.
+// confirmedGateways returns the number of connected gateways if it has exceeded the peak for
+// handoverTime, and zero otherwise: a gateway that moves between replicas counts at both for a
+// moment.
 func (l *Ledger[K]) confirmedGateways(now time.Time, connected int) int {
 	if connected <= l.peakGateways {
 		l.withinPeakAt = now
@@ -189,16 +190,16 @@
 	return connected
 }
 
-// changeFor is how long a gateway that has gone to another replica may count at both:
-// longer than the silence after which its old link is given up.
+// handoverTime is how long a gateway that has moved to another replica may count at both: longer
+// than the silence after which its old link is closed.
 const handoverTime = 2 * time.Second
 
-// Snapshot returns what a replica is told that begins to listen to this one.
+// Snapshot returns the update for a replica that starts to receive updates from this one.
 func (l *Ledger[K]) Snapshot(now time.Time) *UsageUpdate {
 	return &UsageUpdate{Whole: true, Used: l.limiter.Usage(now), Own: maps.Clone(l.local.used), Start: l.incarnation}
 }
 
-// PeerUpdate returns what the other replicas have to be told now; nil if nothing.
+// PeerUpdate returns the update to send to the other replicas now; nil if there is none.
 func (l *Ledger[K]) PeerUpdate(now time.Time) *UsageUpdate {
 	due := l.local.takeDue(now, l.limiter)
 	if due == nil && now.Sub(l.peersUpdatedAt) < maxUpdateInterval && !l.limiter.nearLimit(now) {
@@ -208,7 +209,7 @@
 	return &UsageUpdate{Used: due, Start: l.incarnation}
 }
 
-// SendGatewayUpdates calls tell with what each gateway has to be told now.
+// SendGatewayUpdates calls send with the update for each gateway that has to get one now.
 func (l *Ledger[K]) SendGatewayUpdates(now time.Time, send func(k K, u *UsageUpdate)) {
 	due := l.total.takeDue(now, l.limiter)
 	nearLimit := l.limiter.nearLimit(now)
@@ -219,8 +220,8 @@
 	}
 }
 
-// forGateway returns what a gateway has to be told: what the others have used of some
-// limits, or of all if it was told nothing yet.
+// gatewayUpdate returns the update for a gateway: what the others have used of the due limits, or
+// of all limits in its first update. It returns nil if there is nothing to send.
 func (l *Ledger[K]) gatewayUpdate(now time.Time, g *gateway, due map[string]int, nearLimit bool) *UsageUpdate {
 	out := &UsageUpdate{Together: l.connectedShare, Alone: l.disconnectedShare, Whole: g.unsynced}
 	if g.unsynced {
@@ -239,7 +240,8 @@
 	return out
 }
 
-// change returns what the others have used of some limits that a gateway was not told.
+// takeChanges returns what the others have used of the due limits that wasn't sent to the gateway,
+// and marks it as sent.
 func (l *Ledger[K]) takeChanges(g *gateway, due map[string]int) map[string]int {
 	var out map[string]int
 	for name := range due {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -5,54 +5,53 @@
 	"time"
 )
 
-// A Limiter bounds what organisations use, at one of many gateways or at a replica of
-// control. Each gateway may use the whole of a limit: what it uses counts at once, what
-// the others use as it is told, some tens of milliseconds later. What was used too much
-// meanwhile is a debt that has to run off first. While a gateway is not told, it may use
-// only the part that is its own, so that all parts together stay within the limit
-// however the gateways are cut from each other.
-
-// account is what is counted of one organisation.
+// account is the state of one organisation.
 type account struct {
 	limit Limit
-	// used is what all have used and alone what this gateway has, each less what
-	// has run off since; used is for the part share.
+	// used is what all gateways in the connected share have used and ownUsed what this gateway has
+	// used, each without what has leaked away; share is the share that used refers to.
 	used, ownUsed float64
 	share         float64
-	// absent is what those had used who are not in the group that has the part.
+	// absentUsed is the use of gateways that are no longer in the connected share.
 	absentUsed float64
 	at         time.Time
-	// untold is what this gateway has used and not told.
+	// unreported is the use of this gateway that it hasn't reported.
 	unreported float64
 	reportedAt time.Time
-	// asked is the size of the requests that were refused here and told when to come
-	// back, less what has run off since at the gateway's own part.
+	// refused is the size of the requests that were refused here with a time to retry, without what
+	// has leaked away since at the gateway's own share.
 	refused float64
-	// cutOff tells that the gateway's own part counts, since it was not told for a time.
+	// disconnected is set while the gateway's own share applies, since it has received no update
+	// for some time.
 	disconnected bool
-	// credit is what could have run off while it was not told, had it known what was
-	// used; it counts against what it is told right after, at creditAt.
+	// credit is what could have leaked away while no updates arrived, had the use been known; it is
+	// deducted from the use that arrives right after that, until catchUpTime after creditAt.
 	credit   float64
 	creditAt time.Time
 }
 
-// Limiter counts what organisations use.
+// Limiter limits the use of organisations, at one of many gateways or at a replica of control.
+//
+// Each gateway may use the whole limit: its own use counts at once, the use of the others some tens
+// of milliseconds later, when updates arrive. What was used beyond the limit in the meantime is a
+// debt that has to leak away first. While a gateway receives no updates it may use only its own
+// share, so that all shares together stay within the limit however the gateways are partitioned.
 type Limiter struct {
 	bounds   Bounds
 	share    Share
 	accounts map[string]*account
-	// told tells that this gateway has been told what all have used.
+	// synced is set once this gateway has received the use of all gateways.
 	synced bool
 }
 
-// NewLimiter returns a limiter that has counted nothing yet. Since others may have
-// used much already, it starts with little left.
+// NewLimiter returns a limiter without any use. Since others may have used much already, its
+// accounts start with little capacity.
 func NewLimiter(b Bounds) *Limiter {
 	return &Limiter{bounds: b, accounts: map[string]*account{}}
 }
 
-// SetLimits puts the limits of a version of the settings in force. What was used stays
-// so; of an organisation without a limit nothing is counted.
+// SetLimits applies the limits of a version of the settings. Use that was counted stays;
+// organisations without a limit aren't counted.
 func (l *Limiter) SetLimits(now time.Time, limits map[string]Limit) {
 	for name, a := range l.accounts {
 		l.advance(now, a)
@@ -73,8 +72,8 @@
 	}
 }
 
-// SetShare takes the part of the limits that this gateway may use. After a silence the
-// accounts are settled before it counts as over.
+// SetShare sets the share of the limits that this gateway may use. After a silence, the accounts
+// are advanced before the silence counts as over.
 func (l *Limiter) SetShare(now time.Time, s Share) {
 	if s.Connected == l.share.Connected && s.Disconnected == l.share.Disconnected && s.Updated.Sub(l.share.Updated) < tightTimeout {
 		l.share = s
@@ -93,10 +92,9 @@
 	}
 }
 
-// rescale moves the account to another part. What was used is divided like the limit when
-// others are not in the group any more; when they are back, their share of it counts again,
-// since they may have used all that has run off meanwhile. What they used beyond that they
-// tell themselves.
+// rescale changes the share of an account. When gateways leave the group, what was used is divided
+// like the limit; when they return, their part of it counts again, since they may have used all
+// that has leaked away since. They report themselves what they used beyond that.
 func (l *Limiter) rescale(a *account, share float64) {
 	switch {
 	case a.share <= 0:
@@ -113,8 +111,8 @@
 	a.share = share
 }
 
-// settle lets run off what was used. Where the gateway was not told any more meanwhile, as
-// much is left of its own part from then on as of the whole.
+// advance lets use leak away up to now. If updates have stopped in the meantime, the fraction of
+// its own share that the gateway has used is from then on at least the used fraction of the whole.
 func (l *Limiter) advance(now time.Time, a *account) {
 	staleAt := l.share.Updated.Add(tightTimeout)
 	if now.Before(staleAt) {
@@ -146,8 +144,8 @@
 	a.refused = max(a.refused-ownLeaked, 0)
 }
 
-// Charge counts a size whatever the limit is: of a request that runs once more. A size
-// below zero gives back what was counted for a request that did not run.
+// Charge counts a size whatever the limit is, as for a request that runs again. A negative size
+// refunds a request that did not run.
 func (l *Limiter) Charge(now time.Time, name string, size float64) {
 	if a := l.accounts[name]; a != nil {
 		l.advance(now, a)
@@ -155,13 +153,13 @@
 	}
 }
 
-// heldUp is how long after a silence all that was held up may take to come. Until then what
-// others have used is set against what has run off meanwhile.
+// catchUpTime is how long delayed updates may keep arriving after a silence. Until then, the use of
+// others is offset by what has leaked away in the meantime.
 const catchUpTime = 300 * time.Millisecond
 
-// ChargeRemote counts what others have used. After a silence, as when this process was frozen,
-// it is told all of some seconds at once, which has partly run off since. It returns what
-// has not.
+// ChargeRemote counts the use of others. After a silence, as when this process was frozen, updates
+// of several seconds arrive at once, and part of that use has already leaked away. ChargeRemote
+// returns the part that hasn't.
 func (l *Limiter) ChargeRemote(now time.Time, name string, size float64) float64 {
 	a := l.accounts[name]
 	if a == nil {
@@ -173,8 +171,8 @@
 	return size
 }
 
-// late returns how much of what others have used has run off already, and takes it from
-// the credit.
+// takeCredit returns how much of the use of others has already leaked away, and deducts it from the
+// credit.
 func (a *account) takeCredit(now time.Time, size float64) float64 {
 	if now.Sub(a.creditAt) > catchUpTime {
 		a.credit = 0
@@ -184,8 +182,8 @@
 	return out
 }
 
-// MergeUsage takes what all have used together, from somebody who has counted for longer.
-// What is known here stays if it is more, but for what was assumed at the start.
+// MergeUsage sets the total use as reported by a process that has counted for longer. Use known
+// here stays if it is higher, unless it was only assumed at the start.
 func (l *Limiter) MergeUsage(now time.Time, used map[string]int) {
 	for name, a := range l.accounts {
 		l.advance(now, a)
@@ -198,14 +196,14 @@
 	l.synced = true
 }
 
-// rejoinFor is for how long two sides of a cut use the whole limit side by side, until
-// they notice it, with a margin.
+// partitionDetection is how long both sides of a partition may use the whole limit before they
+// detect it, with a margin.
 const partitionDetection = time.Second
 
-// rejoin counts what others have used while they were cut from this process. Most of it
-// has run off: after a cut was noticed each side has kept to its part, so that together
-// not more is used than at the side that has used more of its own. Base is that, and what
-// comes in several pieces is held against the same one. It returns what was counted.
+// mergeAfterPartition counts the use of others during a partition and returns what was counted.
+// Most of that use has leaked away: once the partition is detected each side keeps to its share, so
+// that the total use is no higher than at the side that has used more of its own share. baseline is
+// that use; several updates are counted against the same baseline.
 func (l *Limiter) mergeAfterPartition(now time.Time, used map[string]int, baseline map[string]float64) map[string]int {
 	out := map[string]int{}
 	for name, size := range used {
@@ -222,7 +220,7 @@
 	return out
 }
 
-// usedNow returns what was used of the part that this process knows of.
+// connectedUsage returns the use within the connected share.
 func (l *Limiter) connectedUsage(now time.Time) map[string]float64 {
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
@@ -232,7 +230,7 @@
 	return out
 }
 
-// inPart returns levels that were told as those of the part that this process knows of.
+// scaleToConnected converts total use to use within the connected share.
 func (l *Limiter) scaleToConnected(usage map[string]int) map[string]float64 {
 	out := make(map[string]float64, len(usage))
 	for name, used := range usage {
@@ -243,7 +241,7 @@
 	return out
 }
 
-// Usage returns what all have used of each limit, as Levels takes it.
+// Usage returns the total use of each limit, in the form that MergeUsage accepts.
 func (l *Limiter) Usage(now time.Time) map[string]int {
 	out := map[string]int{}
 	for name, a := range l.accounts {
@@ -255,5 +253,5 @@
 	return out
 }
 
-// leastShare keeps what was used from growing without bound where no part is known.
+// minShare keeps use from growing without bound when scaled up while no share is known.
 const minShare = 0.001
--- a/quota/peer.go
+++ b/quota/peer.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// peer is what a ledger knows of another replica, since that has started.
+// peer is the ledger's state of one incarnation of another replica.
 type peer struct {
-	// own is what was used at its gateways.
+	// used is what was used at the gateways of that replica.
 	used map[string]int
-	// heard is when it has told something last. After a silence, what was held up comes all
-	// at once until catchUntil; base is what was known to be used when that began.
+	// updatedAt is when the last update was received from it. After a silence, delayed updates
+	// arrive all at once until catchUpUntil; baseline is the use that was known when that began.
 	updatedAt, catchUpUntil time.Time
 	baseline                map[string]float64
 }
 
-// Times of a cut between two replicas.
+// Limits of the state of other replicas.
 const (
-	// silentPeer is the silence after which what comes next was held up: two tellings.
+	// maxPeerSilence is the silence after which the next updates count as delayed: two update
+	// intervals.
 	maxPeerSilence = 2 * maxUpdateInterval
-	// mostPeers bounds the starts of other replicas that are known.
+	// maxPeers is the number of known incarnations of other replicas above which all are dropped.
 	maxPeers = 32
 )
 
-// ApplyPeerUpdate takes what another replica tells.
+// ApplyPeerUpdate counts the use in an update from another replica.
 func (l *Ledger[K]) ApplyPeerUpdate(now time.Time, u *UsageUpdate) {
 	p := l.peers[u.Start]
 	if !u.Whole {
@@ -52,8 +53,8 @@
 	return maps.Clone(m)
 }
 
-// hear counts what another replica has used since it told last. After a silence that is
-// seconds of use at once, most of which has run off.
+// applyDelta counts what was used at another replica since its last update. After a silence the
+// update holds the use of several seconds, most of which has leaked away.
 func (l *Ledger[K]) applyDelta(now time.Time, p *peer, used map[string]int) {
 	if now.Sub(p.updatedAt) > maxPeerSilence {
 		p.catchUpUntil, p.baseline = now.Add(catchUpTime), l.limiter.connectedUsage(now)
@@ -69,7 +70,7 @@
 	l.chargeRemote(now, used)
 }
 
-// missed counts what was used at the gateways of another replica while it was cut off.
+// applyMissed counts what was used at the gateways of another replica during a partition.
 func (l *Ledger[K]) applyMissed(now time.Time, p *peer, u *UsageUpdate) {
 	missed := map[string]int{}
 	for name, size := range u.Own {
@@ -82,7 +83,7 @@
 	l.addToTotal(l.limiter.mergeAfterPartition(now, missed, baseline))
 }
 
-// countLate adds what has not run off to what gateways are told.
+// addToTotal adds use that hasn't leaked away to what is sent to gateways.
 func (l *Ledger[K]) addToTotal(used map[string]int) {
 	for name, size := range used {
 		l.total.used[name] += size
--- a/quota/report.go
+++ b/quota/report.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tight tells whether some organisation has used more than half of its room.
+// nearLimit reports whether an organisation has used more than half of its capacity.
 func (l *Limiter) nearLimit(now time.Time) bool {
 	for _, a := range l.accounts {
 		l.advance(now, a)
@@ -16,16 +16,18 @@
 	return false
 }
 
-// Rules for telling.
+// Rules for reports of use.
 const (
-	// tellPart is the part of the room left, of that of one gateway, from which on what
-	// was used is told at once: so much less is known to be left by all together.
+	// reportFraction is the divisor of one gateway's share of the remaining capacity above which
+	// use is reported at once. All gateways together leave at most the same fraction of the
+	// remaining capacity unreported.
 	reportFraction = 32
-	// tellEvery is how long it may wait else.
+	// maxReportDelay is how long smaller use may stay unreported.
 	maxReportDelay = 400 * time.Millisecond
 )
 
-// worth tells whether a use that others have not heard of for a time has to be told.
+// shouldReport reports whether use has to be reported now, where reportedAt is the time of the last
+// report.
 func (l *Limiter) shouldReport(now time.Time, name string, unreported float64, reportedAt time.Time) bool {
 	if unreported == 0 {
 		return false
@@ -39,8 +41,8 @@
 	return math.Abs(unreported)*reportFraction >= remaining*l.share.Disconnected
 }
 
-// TakeUnreported returns what this gateway has used that has to be told now, by organisation;
-// nil if nothing has. It counts as told.
+// TakeUnreported returns the use of this gateway to report now, by organisation, and marks it as
+// reported; nil if there is none.
 func (l *Limiter) TakeUnreported(now time.Time) map[string]int {
 	var out map[string]int
 	for name, a := range l.accounts {
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// FairShares tells which organisations use more than their share of what there is. While
-// engines are full, what lies beyond an organisation's share waits behind the others, so
-// that one that sends several times its usual takes room that is left and not theirs. A
-// share is in proportion to the limit: that is what the operator says an organisation is
-// to have, and all use about the same part of it on an ordinary day.
+// FairShares tracks which organisations use more than their share of the capacity. While engines
+// are full, requests beyond an organisation's share wait behind the others, so that an organisation
+// that sends several times its usual load gets spare capacity only, not that of the others. Shares
+// are proportional to limits: the limit is what the operator assigns to an organisation, and on an
+// ordinary day all organisations use about the same fraction of it.
 type FairShares struct {
 	weights     map[string]float64
 	totalWeight float64
 	recent      map[string]*decayingSum
-	// all is what all have used of late.
+	// all is the recent use of all organisations.
 	all decayingSum
 }
 
-// recent is an average that forgets.
+// decayingSum is a sum with exponential decay.
 type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
 const (
-	// shareTime is the time over which use counts: some requests of a small organisation,
-	// and about the length of a run, which is what its room is taken for.
+	// decayTime is the time constant of recent use. It covers several requests of a small
+	// organisation, and is about the duration of a run, for which a request occupies its slot.
 	decayTime = 4 * time.Second
-	// beyondShare is how far above the mean use an organisation must be: those of a day
-	// without a burst of one differ by less.
+	// excessFactor is how far above the mean use an organisation must be: on days without a burst
+	// of one organisation, they differ by less.
 	excessFactor = 1.5
 )
 
-// NewFairShares returns shares of no organisation.
+// NewFairShares returns fair shares without organisations.
 func NewFairShares() *FairShares { return &FairShares{recent: map[string]*decayingSum{}} }
 
-// SetLimits takes the limits that shares are in proportion to.
+// SetLimits sets the limits that shares are proportional to.
 func (f *FairShares) SetLimits(limits map[string]Limit) {
 	f.weights, f.totalWeight = map[string]float64{}, 0
 	for name, limit := range limits {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Add counts what an organisation uses, wherever it does.
+// Add counts the use of an organisation at any gateway.
 func (f *FairShares) Add(now time.Time, name string, size float64) {
 	if f.weights[name] == 0 {
 		return
@@ -66,8 +66,8 @@
 	f.all.add(now, size)
 }
 
-// Exceeds tells whether an organisation uses more than its share. One without a limit
-// never does, since what it uses is not told.
+// Exceeds reports whether an organisation uses more than its share. An organisation without a limit
+// never does, since its use isn't reported.
 func (f *FairShares) Exceeds(now time.Time, name string) bool {
 	r := f.recent[name]
 	if r == nil {
--- a/quota/take.go
+++ b/quota/take.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Verdict is the answer to a request, and what it rests on.
+// Verdict is the decision on a request and the state it is based on.
 type Verdict struct {
 	OK bool
-	// RetryAfter is after which time a refused request should come back, as far as is known
-	// here: those that were refused before come back first.
+	// RetryAfter is when a refused request should be retried, as far as this gateway can tell:
+	// requests that were refused earlier go first.
 	RetryAfter time.Duration
-	// Used was counted, of the Capacity that the limit gives to a part; CutOff tells that
-	// this is the gateway's own part, since it was not told for Age.
+	// Used is the use that was counted against Capacity, which is what the limit allows to the
+	// share that applies. Disconnected reports whether that is the gateway's own share, since it
+	// has received no update for Age.
 	Used, Capacity float64
 	Disconnected   bool
 	Age            time.Duration
-	// Unassigned tells that it was never told, and so has no part.
+	// Unassigned reports whether the gateway has never received an update, and so has no share.
 	Unassigned bool
 }
 
-// Take counts the size of a request of an organisation if that lies within its limit.
-// Draw is evenly spread in [0, 1).
+// Take charges the size of a request to an organisation if it is within the limit. draw must be
+// uniformly distributed in [0, 1).
 func (l *Limiter) Take(now time.Time, name string, size, draw float64) Verdict {
 	a := l.accounts[name]
 	if a == nil {
@@ -41,9 +42,9 @@
 	return v
 }
 
-// takeAlone counts the size of a request against the gateway's own part. That may be less
-// than one request, so that of many gateways some take one and most none: one that has
-// used nothing draws, and pays what it could have had whether it wins or not.
+// takeOwnShare charges the size of a request to the gateway's own share. That may be less than one
+// request, so that of many gateways some must accept one and most none: a gateway that has used
+// nothing draws, and is charged what it could have had whether it wins or not.
 func (l *Limiter) takeOwnShare(a *account, v *Verdict, size, draw float64) {
 	over := a.ownUsed + min(size, v.Capacity) - v.Capacity
 	if over <= 0 && v.Capacity > 0 {
@@ -59,14 +60,14 @@
 	v.RetryAfter = l.retryAfter(a, size, over/max(l.share.Disconnected, minShare))
 }
 
-// Times that refused callers are told.
+// Bounds of the times at which refused callers are asked to retry.
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = time.Hour
 )
 
-// comeBack returns how long a refused request stays away: until the limit has room for
-// it, over units from now, and for those that were refused here before it.
+// retryAfter returns after how long a refused request should be retried: when the limit has
+// capacity for it, over units from now, and for the requests that were refused here before it.
 func (l *Limiter) retryAfter(a *account, size, over float64) time.Duration {
 	rate := l.bounds.leakRate(a.limit)
 	wait := over/rate + a.refused/(rate*max(l.share.Disconnected, minShare))
