--- a/warmup/broker.go
+++ b/warmup/broker.go
@@ -8,29 +8,30 @@
 	"github.com/ledgepin/ledgepin/internal/mix"
 )
 
-// Times of leases.
+// Durations of leases.
 const (
-	// LeaseTTL is how long a lease holds from its arrival on.
+	// LeaseTTL is how long a lease is valid after its arrival.
 	LeaseTTL = time.Second
 	// renewAfter is the age at which a lease is renewed.
 	renewAfter = 300 * time.Millisecond
-	// gap is the time between the end of a lease, as its lender counts it, and the next one
-	// to somebody else: the second in which what was sent last still counts, and a margin
-	// for a report that was held up on its way.
+	// reassignDelay is the time between the end of a lease, as its replica counts it, and the next
+	// lease to another gateway: the second in which the requests sent last still count, and a
+	// margin for a grant that was delayed on its way.
 	reassignDelay = time.Second + 500*time.Millisecond
 )
 
-// Bounds tell how what cold servers get is judged: in no second may it be above their rate
-// times Overshoot plus Slack.
+// Bounds limits the requests to a cold server: in no second may they exceed its rate times
+// Overshoot plus Slack.
 type Bounds struct{ Overshoot, Slack float64 }
 
-// bunched is how many seconds' worth of requests may reach a server in one: a request counts
-// when it is placed, and may be sent up to the time of a read later.
+// burstSeconds is how many seconds of requests may reach a server in one second: a request counts
+// when it is placed, and may be sent up to one prefill later.
 const burstSeconds = 2
 
-// Share returns how many requests a second the holder of a lease may send to a server with a
-// rate, where a number of replicas lend, of which this is the one with an index. All shares
-// together are within the bounds; where they do not suffice for all, the first replicas lend.
+// Share returns how many requests per second the holder of a lease may send to a server with the
+// given rate, where index is the index of the granting replica among all replicas. All shares
+// together are within the bounds; if they don't suffice for all replicas, only the first ones grant
+// leases.
 func (b Bounds) Share(rate float64, replicas, index int) int {
 	total := int((rate*max(b.Overshoot, 1) + b.Slack) / burstSeconds)
 	if replicas <= 0 || index < 0 || index >= replicas {
@@ -45,10 +46,11 @@
 	return 0
 }
 
-// Broker lends one replica's parts of cold servers. It is not safe for concurrent use.
+// Broker leases one replica's shares of cold servers to gateways. A Broker isn't safe for
+// concurrent use.
 type Broker struct {
-	// quietUntil is when it may lend: another process may have lent just before this one
-	// started.
+	// quietUntil is when it may grant leases: an earlier process of the replica may have granted
+	// some just before this one started.
 	quietUntil time.Time
 	leases     map[string]*grantedLease
 }
@@ -58,22 +60,22 @@
 	renewedAt time.Time
 }
 
-// NewBroker returns a broker that starts now.
+// NewBroker returns the broker of a replica that starts at now.
 func NewBroker(now time.Time) *Broker {
 	return &Broker{quietUntil: now.Add(LeaseTTL + reassignDelay), leases: map[string]*grantedLease{}}
 }
 
-// ColdServer is a cold server with the gateways that may have its lease.
+// ColdServer is a cold server with the gateways that may get its lease.
 type ColdServer struct {
 	Server   string
 	Gateways []string
 }
 
-// Grant lets a gateway send to a server.
+// Grant is the lease of a server to a gateway.
 type Grant struct{ Server, Gateway string }
 
-// Lend returns the leases that are to be told now: for each cold server one gateway of those
-// that may have it, the same one as long as it may.
+// Lend returns the leases to send now: for each cold server one lease, to the same gateway as long
+// as that is among those that may get it.
 func (b *Broker) Lend(now time.Time, list []ColdServer) []Grant {
 	held := map[string]int{}
 	for id, l := range b.leases {
@@ -105,8 +107,8 @@
 	return out
 }
 
-// leastLent returns the gateway with the fewest leases, another one for each server if several
-// have as few.
+// fewestLeases returns the gateway with the fewest leases. Ties are broken by a hash that differs
+// from server to server.
 func fewestLeases(c ColdServer, held map[string]int) string {
 	server := mix.Name(c.Server)
 	return slices.MinFunc(c.Gateways, func(a, b string) int {
--- a/warmup/doc.go
+++ b/warmup/doc.go
@@ -1,9 +1,10 @@
-// Package warmup shares out what servers bear while they are cold.
+// Package warmup divides the requests that cold servers can bear among gateways.
 //
-// A server that has just started, or whose caches were dropped, bears a few requests a second
-// and falls over well above that. It is also the emptiest of all, so every gateway would choose
-// it. No gateway knows in time what the others send, so the bound is divided: each replica of
-// control has a part of it, and lends that to one of its gateways at a time.
+// A server that has just started, or whose caches were dropped, can bear a few requests per second
+// and fails well above that. It is also the least loaded of all, so every gateway would choose it.
+// No gateway knows in time what the others send, so the bound is divided: each replica of control
+// has a share of it, and leases that to one of its gateways at a time.
 //
-// Both sides are plain state: the time is an argument, and what has to be told is returned.
+// The code of both sides has no I/O and no clock: it gets the time as an argument, and returns what
+// has to be sent.
 package warmup
--- a/warmup/lease.go
+++ b/warmup/lease.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Lease is what a gateway may send to one cold server. The zero lease allows nothing.
+// Lease is what a gateway may send to one cold server. The zero value allows nothing.
 type Lease struct {
 	maxPerSecond int
 	expiresAt    time.Time
 	sent         []time.Time
 }
 
-// Renew takes a lease that has just come.
+// Renew applies a lease that has just arrived.
 func (l *Lease) Renew(now time.Time, maxPerSecond int, d time.Duration) {
 	l.maxPerSecond, l.expiresAt = maxPerSecond, now.Add(min(d, LeaseTTL))
 }
 
-// Allows tells whether one more request may be sent now.
+// Allows reports whether one more request may be sent now.
 func (l *Lease) Allows(now time.Time) bool {
 	return now.Before(l.expiresAt) && l.recent(now) < l.maxPerSecond
 }
@@ -28,7 +28,7 @@
 	l.sent = append(l.sent, now)
 }
 
-// recent returns how many requests were sent in the last second, and forgets the others.
+// recent returns how many requests were sent in the last second, and drops older ones.
 func (l *Lease) recent(now time.Time) int {
 	l.sent = slices.DeleteFunc(l.sent, func(at time.Time) bool { return now.Sub(at) >= time.Second })
 	return len(l.sent)
