--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -2,17 +2,15 @@
 
 import "time"
 
-// Backoff spaces tries whose failure will not pass by itself soon: the most that a pause may
-// last doubles with each, and where in it the next try lies is left to chance, so that
-// processes that began together do not come together (full jitter, as in M. Brooker,
-// "Exponential Backoff And Jitter", 2015). First is the least pause, so that no draw gives
-// a burst.
+// Backoff spaces attempts that will keep failing for a while: the maximum pause doubles with each
+// failure, and the pause is random up to that, so that processes which started together don't retry
+// together (full jitter, as in M. Brooker, "Exponential Backoff And Jitter", 2015). Min is the
+// shortest pause, so that no random number leads to a burst.
 type Backoff struct {
 	Min, Max time.Duration
 }
 
-// Pause returns how long to wait after some failures in a row, for a random number of
-// [0, 1).
+// Pause returns how long to wait after a number of consecutive failures. random must be in [0, 1).
 func (b Backoff) Pause(failures int, random float64) time.Duration {
 	maxPause := b.Min
 	for range failures {
--- a/retry/backoff_test.go
+++ b/retry/backoff_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestPauseSpreads wants processes that begin together to spread over the whole pause.
+// TestPausesAreSpread guards against processes that start together and retry together.
 func TestPausesAreSpread(t *testing.T) {
 	b := retry.Backoff{Min: 60 * time.Millisecond, Max: 5 * time.Second}
 	r := rand.New(rand.NewPCG(1, 2))
--- a/retry/health.go
+++ b/retry/health.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Times of the ejection of a server.
+// Parameters of the ejection of a server.
 const (
 	ejectAfter  = 3
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
 )
 
-// Health follows the failures of one server. After some in a row the server
-// is ejected; after a time one request may probe it, and its outcome ends or
-// doubles the ejection. The zero value is a healthy server.
+// Health tracks the failures of one server. After ejectAfter consecutive failures the server is
+// ejected; after a time one request may probe it, and the outcome of that ends or doubles the
+// ejection. The zero value is a healthy server.
 type Health struct {
 	failures     int
 	ejected      bool
@@ -20,26 +20,26 @@
 	probing      bool
 }
 
-// Usable tells whether the server may get a request now. A true answer for an
-// ejected server is for one probe, which the caller marks with Probe.
+// Usable reports whether the server may get a request now. For an ejected server this request is a
+// probe, which the caller marks with StartProbe.
 func (h *Health) Usable(now time.Time) bool {
 	return !h.ejected || !h.probing && !now.Before(h.ejectedUntil)
 }
 
-// Ejected tells whether the server is ejected.
+// Ejected reports whether the server is ejected.
 func (h *Health) Ejected() bool { return h.ejected }
 
-// StartProbe marks that a request goes to the server.
+// StartProbe records that a request is sent to the server.
 func (h *Health) StartProbe() {
 	if h.ejected {
 		h.probing = true
 	}
 }
 
-// RecordSuccess takes a success.
+// RecordSuccess counts a success, which ends an ejection.
 func (h *Health) RecordSuccess() { *h = Health{} }
 
-// RecordFailure takes a failure; it reports true if the server is ejected by it.
+// RecordFailure counts a failure and reports whether it ejects the server.
 func (h *Health) RecordFailure(now time.Time) bool {
 	h.failures++
 	if !h.ejected && h.failures < ejectAfter {
