--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,10 +1,10 @@
-// Package subset chooses which servers of a large group a gateway works with.
+// Package subset chooses which servers of a large group a gateway sends requests to.
 //
-// What a gateway must be told grows with the servers that it works with, so each
-// one gets a part of a large group: a hundred servers, of which any two
-// gateways share few. Membership is decided for each pair by itself, by a number
-// that is the same in every process, so that replicas of control agree without
-// a report, and a server that comes or goes moves hardly any other.
+// The updates that a gateway must receive grow with the number of its servers, so each gateway gets
+// a subset of a large group: about a hundred servers, of which any two gateways share few. Each
+// pair of gateway and server is decided by itself, by a hash that is the same in every process.
+// Replicas of control therefore agree without messages, and a server that joins or leaves changes
+// hardly any other pair.
 package subset
 
 import (
@@ -14,29 +14,29 @@
 )
 
 const (
-	// servers is the number of servers of one group that a gateway works with,
-	// on average; all of a smaller group. With 32 of 64 engines a gateway's part was
-	// full while others had room, and 0.04 of all worth was lost by it; what it is told
-	// of 96 busy ones takes some 8 KB/s (worked out), within the 10 that a node may spend.
+	// targetServers is the average number of servers of one group that a gateway sends requests to;
+	// of a smaller group it gets all. With 32 of 64 engines, a gateway's subset was full while
+	// other engines had free slots, and 0.04 of all value was lost. Updates of 96 busy servers take
+	// about 8 KB/s, within the 10 KB/s allowed per node.
 	targetServers = 96
-	// gatewaysEach is the least number of gateways that a server should have, on
-	// average, so that next to none is left without.
+	// minGatewaysPerServer is the minimum average number of gateways per server, which leaves next
+	// to no server without one.
 	minGatewaysPerServer = 6
 )
 
-// Key is the number of a gateway or a server.
+// Key identifies a gateway or a server by a hash of its name.
 type Key uint64
 
 // KeyOf returns the key of a name.
 func KeyOf(name string) Key { return Key(mix.Name(name)) }
 
-// wanted returns how many servers of a group a gateway works with, on average.
+// subsetSize returns how many servers of a group a gateway sends requests to, on average.
 func subsetSize(size, gateways int) int {
 	return min(max(targetServers, minGatewaysPerServer*size/max(gateways, 1)), size)
 }
 
-// Includes tells whether a gateway works with a server of a group of a size, one
-// of a number of gateways.
+// Includes reports whether a gateway sends requests to a server, in a group of size servers with a
+// number of gateways.
 func Includes(gateway, server Key, size, gateways int) bool {
 	n := subsetSize(size, gateways)
 	if n >= size {
@@ -46,7 +46,7 @@
 	return float64(mix.Pair(uint64(gateway), uint64(server))) < bound
 }
 
-// GatewaysPerServer returns how many gateways work with a server of a group, on average.
+// GatewaysPerServer returns how many gateways send requests to a server of a group, on average.
 func GatewaysPerServer(size, gateways int) int {
 	if size <= 0 {
 		return gateways
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// TestSizes wants parts of a bounded size, next to no server without a gateway,
-// and all of a small group.
+// TestSubsetSizes guards against subsets that are too small or too large, small groups that are
+// divided, and servers without a gateway.
 func TestSubsetSizes(t *testing.T) {
 	tests := []struct {
 		servers, gateways                     int
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestStable wants a server more to change hardly anything for the others.
+// TestSubsetIsStable guards against an added server that changes the subsets of the others.
 func TestSubsetIsStable(t *testing.T) {
 	g := subset.KeyOf("front-1")
 	moved := 0
