--- a/membudget/budget.go
+++ b/membudget/budget.go
@@ -1,10 +1,10 @@
 // Package membudget bounds the memory that a process holds for the requests of callers.
 //
-// What a request holds counts against its own bound, that of its organisation and that of the
-// process. Who lacks room waits, so that a server is read no faster than callers take what it
-// sends. A part of the memory is kept for one request at a time, the one that has waited for
-// longest: requests that hold a part of what they need never wait for each other for ever. While
-// one waits, the request whose caller has been reading for longest is given up.
+// The memory of a request counts against a limit of its own, of its organisation and of the
+// process. A request that finds no free memory waits, so that a server is read no faster than
+// callers read what it sends. A reserve is kept for one request at a time, the one that has waited
+// longest: otherwise requests that hold a part of what they need could wait for each other for
+// ever. While one waits, the request whose caller has been reading longest is preempted.
 package membudget
 
 import (
@@ -16,16 +16,16 @@
 
 // Errors of accounts.
 var (
-	// ErrTooLarge tells that a request would hold more than one may.
-	ErrTooLarge = errors.New("membudget: the request needs more memory than one may have")
-	// ErrPreempted tells that a request was given up for one that waits.
-	ErrPreempted = errors.New("membudget: the request was given up for others that wait for memory")
+	// ErrTooLarge reports that a request would hold more than the limit of one request.
+	ErrTooLarge = errors.New("membudget: request exceeds the memory limit of one request")
+	// ErrPreempted reports that a request was preempted for one that waits.
+	ErrPreempted = errors.New("membudget: request was preempted for others that wait for memory")
 )
 
-// Budget is the memory of a process. Safe for use by several goroutines.
+// Budget is the memory of a process. It is safe for concurrent use.
 type Budget struct {
 	now func() time.Time
-	// slow is how long a caller may read its answer while others wait.
+	// slowAfter is how long a caller may read its answer while other requests wait.
 	slowAfter time.Duration
 
 	mu       sync.Mutex
@@ -34,24 +34,24 @@
 	waits    int
 }
 
-// New returns an empty budget. While others wait for memory, callers may take slow to read their
-// answers.
+// New returns an empty budget. While requests wait for memory, callers may take slowAfter to read
+// their answers.
 func New(l Limits, slowAfter time.Duration, now func() time.Time) *Budget {
 	return &Budget{now: now, slowAfter: slowAfter, ledger: newLedger(l), accounts: map[*entry]*Account{}}
 }
 
-// Account is what one request holds. All methods of a nil Account do nothing.
+// Account holds the memory of one request. All methods of a nil Account do nothing.
 type Account struct {
 	budget  *Budget
 	entry   entry
 	preempt func()
-	// granted is told once what it waited for is there.
+	// granted receives a value once the memory that the request waits for is reserved.
 	granted   chan struct{}
 	preempted bool
 }
 
-// Open opens the account of a request. cut ends the write of its answer, from another goroutine
-// and without waiting; it is not called once the account is closed.
+// Open opens the account of a request. preempt must end the write of its answer without blocking;
+// it is called from another goroutine, and not after the account is closed.
 func (b *Budget) Open(organisation string, preempt func()) *Account {
 	a := &Account{budget: b, entry: entry{organisation: organisation}, preempt: preempt, granted: make(chan struct{}, 1)}
 	b.mu.Lock()
@@ -60,21 +60,21 @@
 	return a
 }
 
-// Held returns the bytes that are held.
+// Held returns the number of bytes held.
 func (b *Budget) Held() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ledger.total()
 }
 
-// Waits returns how often a request has had to wait since the start.
+// Waits returns how often a request had to wait since the start.
 func (b *Budget) Waits() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.waits
 }
 
-// TryReserve takes bytes if there is room at once.
+// TryReserve reserves n bytes if they are free, and reports whether it did.
 func (a *Account) TryReserve(n int64) bool {
 	if a == nil {
 		return true
@@ -84,7 +84,7 @@
 	return !a.budget.ledger.exceedsRequestLimit(&a.entry, n) && a.budget.ledger.reserve(&a.entry, n)
 }
 
-// Reserve takes bytes, and waits until there is room.
+// Reserve reserves n bytes, waiting until they are free.
 func (a *Account) Reserve(ctx context.Context, n int64) error {
 	if a == nil {
 		return nil
@@ -107,7 +107,8 @@
 	}
 }
 
-// begin takes bytes, or begins to wait for them.
+// reserveOrQueue reserves n bytes or enqueues the request. It reports whether Reserve is done, with
+// its error.
 func (a *Account) reserveOrQueue(n int64) (bool, error) {
 	b := a.budget
 	b.mu.Lock()
@@ -123,7 +124,8 @@
 	return false, nil
 }
 
-// leave ends a wait, unless what it was for has come meanwhile.
+// cancelWait ends a wait with err, or without an error if the memory has been granted in the
+// meantime.
 func (a *Account) cancelWait(err error) error {
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
@@ -136,7 +138,7 @@
 	return err
 }
 
-// makeRoom gives up a request whose caller reads slowly.
+// preemptSlowest preempts a request whose caller reads slowly.
 func (a *Account) preemptSlowest() {
 	b := a.budget
 	b.mu.Lock()
@@ -151,7 +153,7 @@
 	}
 }
 
-// Release gives bytes back.
+// Release releases n bytes.
 func (a *Account) Release(n int64) {
 	if a == nil {
 		return
@@ -161,7 +163,7 @@
 	a.budget.notify(a.budget.ledger.release(&a.entry, n))
 }
 
-// StartWriting notes that the caller is given its answer from now on.
+// StartWriting records that the answer is being written to the caller from now on.
 func (a *Account) StartWriting() {
 	if a == nil {
 		return
@@ -173,7 +175,7 @@
 	}
 }
 
-// Preempted returns ErrCut once the request was given up.
+// Preempted returns ErrPreempted once the request was preempted.
 func (a *Account) Preempted() error {
 	if a == nil {
 		return nil
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// Close gives all back.
+// Close releases everything that the request holds.
 func (a *Account) Close() {
 	if a == nil {
 		return
@@ -197,7 +199,7 @@
 	a.budget.notify(a.budget.ledger.close(&a.entry))
 }
 
-// tell wakes those that have got what they waited for.
+// notify wakes the requests that were granted memory.
 func (b *Budget) notify(granted []*entry) {
 	for _, e := range granted {
 		b.accounts[e].granted <- struct{}{}
--- a/membudget/ledger.go
+++ b/membudget/ledger.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Limits bound the bytes that are held. A bound of zero is none.
+// Limits bounds the bytes held. Zero means no limit.
 type Limits struct {
-	// Total bounds the bytes of all requests, Organisation those of the requests of one
-	// organisation, and Request those of one.
+	// Total limits the bytes of all requests, Organisation those of the requests of one
+	// organisation, and Request those of one request.
 	Total, Organisation, Request int64
 }
 
-// normal returns limits in which the part that is kept for one request is at most half of all.
+// normalized returns limits whose reserve for one request is at most half of the total.
 func (l Limits) normalized() Limits {
 	if l.Total <= 0 {
 		return Limits{Request: l.Request}
@@ -26,25 +26,26 @@
 	return l
 }
 
-// entry is what one request holds.
+// entry is the state of one request.
 type entry struct {
 	organisation string
 	held         int64
-	// wants are the bytes that it waits for.
+	// wanted is the number of bytes that it waits for.
 	wanted int64
-	// writing is when its caller was given the first part of its answer; zero before.
+	// writingSince is when the first part of the answer was written to the caller; zero before.
 	writingSince time.Time
 }
 
-// ledger decides who gets memory. It reads no clock and waits for nothing.
+// ledger decides which requests get memory. It reads no clock and never blocks.
 type ledger struct {
 	limits Limits
-	// shared are the bytes held outside the kept part, organisations those of each.
+	// shared is the number of bytes held outside the reserve, organisations the part of each
+	// organisation.
 	shared        int64
 	organisations map[string]int64
-	// favoured is the request that has the kept part.
+	// reserveHolder is the request that may use the reserve.
 	reserveHolder *entry
-	// waiting are those that lack room, the first that came in front.
+	// waiting lists the requests that wait for memory, in the order of their arrival.
 	waiting []*entry
 }
 
@@ -52,7 +53,7 @@
 	return &ledger{limits: l.normalized(), organisations: map[string]int64{}}
 }
 
-// total returns the bytes that are held.
+// total returns the number of bytes held.
 func (l *ledger) total() int64 {
 	if l.reserveHolder != nil {
 		return l.shared + l.reserveHolder.held
@@ -60,25 +61,25 @@
 	return l.shared
 }
 
-// tooMuch tells whether a request would hold more than one may.
+// exceedsRequestLimit reports whether n more bytes would exceed the limit of one request.
 func (l *ledger) exceedsRequestLimit(e *entry, n int64) bool {
 	return l.limits.Request > 0 && e.held+n > l.limits.Request
 }
 
-// fits tells whether there is room for more bytes of a request.
+// fits reports whether n more bytes are free for a request.
 func (l *ledger) fits(e *entry, n int64) bool {
 	return l.limits.Total <= 0 || e == l.reserveHolder || l.fitsTotal(n) && l.fitsOrganisation(e, n)
 }
 
 func (l *ledger) fitsTotal(n int64) bool { return l.shared+n <= l.limits.Total-l.limits.Request }
 
-// fitsOrganisation tells whether the organisation of a request may hold more. Requests of no
-// organisation share the total only.
+// fitsOrganisation reports whether the organisation of a request may hold n more bytes. Requests
+// without an organisation share the total only.
 func (l *ledger) fitsOrganisation(e *entry, n int64) bool {
 	return e.organisation == "" || l.organisations[e.organisation]+n <= l.limits.Organisation
 }
 
-// take counts bytes for a request, if there is room.
+// reserve reserves n bytes for a request if they are free, and reports whether it did.
 func (l *ledger) reserve(e *entry, n int64) bool {
 	if !l.fits(e, n) {
 		return false
@@ -88,7 +89,7 @@
 	return true
 }
 
-// share counts bytes outside the kept part.
+// addShared counts n bytes outside the reserve.
 func (l *ledger) addShared(e *entry, n int64) {
 	if e == l.reserveHolder {
 		return
@@ -102,22 +103,23 @@
 	}
 }
 
-// wait has a request wait for bytes, and returns who has room now: the first that waits is
-// favoured, so that it may be the request itself.
+// enqueue makes a request wait for n bytes, and returns the requests that were granted memory. That
+// may be the request itself, since the first one that waits gets the reserve.
 func (l *ledger) enqueue(e *entry, n int64) []*entry {
 	e.wanted = n
 	l.waiting = append(l.waiting, e)
 	return l.grantWaiting()
 }
 
-// give takes bytes of a request back, and returns who has room now.
+// release releases n bytes of a request, and returns the requests that were granted memory.
 func (l *ledger) release(e *entry, n int64) []*entry {
 	e.held -= n
 	l.addShared(e, -n)
 	return l.grantWaiting()
 }
 
-// end takes all of a request back, and returns who has room now.
+// close releases everything that a request holds, and returns the requests that were granted
+// memory.
 func (l *ledger) close(e *entry) []*entry {
 	l.waiting = slices.DeleteFunc(l.waiting, func(o *entry) bool { return o == e })
 	l.addShared(e, -e.held)
@@ -128,13 +130,13 @@
 	return l.grantWaiting()
 }
 
-// leave ends the wait of a request.
+// dequeue ends the wait of a request.
 func (l *ledger) dequeue(e *entry) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(o *entry) bool { return o == e })
 	e.wanted = 0
 }
 
-// grant gives room to those that wait, and returns who has got it.
+// grantWaiting grants free memory to waiting requests, and returns those that got it.
 func (l *ledger) grantWaiting() []*entry {
 	l.freeReserve()
 	var granted []*entry
@@ -152,13 +154,13 @@
 	return granted
 }
 
-// favour gives a request the kept part, and counts there what it holds.
+// grantReserve lets a request use the reserve, and counts there what it holds.
 func (l *ledger) grantReserve(e *entry) {
 	l.addShared(e, -e.held)
 	l.reserveHolder = e
 }
 
-// unfavour takes the kept part back once there is room for its request without it.
+// freeReserve frees the reserve once its request fits outside of it.
 func (l *ledger) freeReserve() {
 	e := l.reserveHolder
 	if e == nil || !l.fitsTotal(e.held) || !l.fitsOrganisation(e, e.held) {
@@ -168,9 +170,9 @@
 	l.addShared(e, e.held)
 }
 
-// slowest returns which of the requests gives up its memory for one that waits: of those whose
-// callers have been reading for longer than least, the one that began first; nil if there is
-// none. Where only the organisation of the one that waits lacks room, it is one of that.
+// slowest returns the request to preempt for one that waits: the one whose caller started to read
+// first, among those that have been reading for at least minReading; nil if there is none. If only
+// the waiter's organisation is out of memory, it is a request of that organisation.
 func (l *ledger) slowest(waiter *entry, candidates []*entry, now time.Time, minReading time.Duration) *entry {
 	var out *entry
 	ownOnly := l.fitsTotal(waiter.wanted)
