--- a/poison/digest.go
+++ b/poison/digest.go
@@ -6,14 +6,14 @@
 	"encoding/hex"
 )
 
-// Digest names the content of a request. It is cryptographic, so that nobody can make a
-// request that is taken for another one.
+// Digest identifies the content of a request. It is cryptographic, so that nobody can craft a
+// request with the digest of another one.
 type Digest [16]byte
 
-// Content is what makes two requests the same one: whose they are, where they go and what
-// they ask. The request ID is not, since each try of a caller has its own.
+// Content is what makes two requests the same: whose they are, where they go and what they ask. The
+// request ID isn't part of it, since each attempt of a caller has its own.
 type Content struct {
-	// Organisation is empty where callers have no keys.
+	// Organisation is empty if callers have no keys.
 	Organisation string
 	Method, Host string
 	// Target is the path and query as the caller sent them.
@@ -21,12 +21,12 @@
 	Body   []byte
 }
 
-// Digest returns the name of the content.
+// Digest returns the digest of the content.
 func (c Content) Digest() Digest {
 	h := sha256.New()
 	var size [8]byte
 	write := func(part []byte) {
-		// Each part goes in behind its length, so that no part can pass for the
+		// Each field is prefixed with its length, so that the end of one field can't pass for the
 		// beginning of the next.
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
@@ -39,8 +39,7 @@
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// shown is how many bytes of a digest a log line shows: enough to tell the contents of a
-// day apart.
+// logBytes is how many bytes of a digest are logged: enough to distinguish the contents of a day.
 const logBytes = 6
 
 // String returns the beginning of the digest, for logs.
--- a/poison/digest_test.go
+++ b/poison/digest_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDigestTellsContentsApart wants each part of a request to count, and parts that run
-// into each other to be told apart.
+// TestDigestDistinguishesContents guards against contents with equal digests: each field must
+// count, and so must the boundaries between fields.
 func TestDigestDistinguishesContents(t *testing.T) {
 	base := Content{Organisation: "o", Method: "POST", Host: "h", Target: "/a", Body: []byte("b")}
 	same := base
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -1,12 +1,12 @@
-// Package poison knows requests by their content and keeps those under which servers have
-// ended, so that a request that ends each server which runs it is refused when it comes
-// again, under whatever ID and through whatever gateway.
+// Package poison identifies requests by their content and records those that were running when
+// servers ended, so that a request that ends each server which runs it is refused when it is sent
+// again, under any ID and through any gateway.
 //
-// A server that ends takes all that it runs with it, so one ending proves nothing of any of
-// them. What is blocked is a content under which several servers have ended and that has
-// never run to its end since.
+// A server that ends takes all of its runs with it, so a single ending doesn't show which of them
+// caused it. A content is blocked if several servers have ended while running it and it hasn't
+// completed since.
 //
-// Table is plain state: it is given the time and returns what is to be told. What it keeps
-// only grows until it is forgotten, so tables that tell each other agree, in whatever order
-// and however often they hear of it.
+// Table has no I/O and no clock: it gets the time as an argument and returns what has to be sent.
+// Its entries only grow until they expire, so tables that exchange them agree, in whatever order
+// and however often they are merged.
 package poison
--- a/poison/table.go
+++ b/poison/table.go
@@ -6,43 +6,42 @@
 	"time"
 )
 
-// Bounds of what is kept.
+// Limits of a table.
 const (
-	// blockAt is the number of servers that must have ended under a content, one after the
-	// other. A whole run
-	// excuses a content, so a third ending without one is hardly chance; one more would
-	// cost a server and all that it runs.
+	// blockThreshold is the number of servers that must have ended one after the other while
+	// running a content. A complete run excuses the content, so a third ending without one is
+	// hardly chance; waiting for a fourth would cost another server and all of its runs.
 	blockThreshold = 3
-	// blockFor is how long a content is refused after the newest ending, keepFor how long
-	// an ending is remembered: whoever comes back later than the first is tried once, and
-	// refused again if that ends one more server.
+	// blockDuration is how long a content is refused after the last ending, endingTTL how long an
+	// ending is kept: a caller that returns after blockDuration gets one attempt, and is refused
+	// again if that ends another server.
 	blockDuration = 10 * time.Minute
 	endingTTL     = time.Hour
-	// mostContents bounds the contents of a table: a zone of 200 servers with 50 runs each
-	// that loses power. It takes some 3 MB.
+	// maxContents bounds the contents of a table: enough for an availability zone of 200 servers
+	// with 50 runs each that loses power. It takes about 3 MB.
 	maxContents = 10_000
 )
 
-// Ending is one server that has ended under a content.
+// Ending is the ending of one server while it ran a content.
 type Ending struct {
-	// Server names the start of the server, so that two gateways that saw the same one
-	// end count one.
+	// Server identifies the incarnation of the server, so that an ending seen by two gateways
+	// counts once.
 	Server string `cbor:"1,keyasint"`
-	// Age is how long ago it was.
+	// Age is the time since the ending.
 	Age time.Duration `cbor:"2,keyasint,omitempty"`
-	// Excused tells that the content has run to its end since.
+	// Excused reports whether the content has completed since.
 	Excused bool `cbor:"3,keyasint,omitempty"`
-	// Ran is how long before that the content had been sent to the server.
+	// Ran is how long before the ending the content had been sent to the server.
 	Ran time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Record is what is known of a content, as tables tell each other.
+// Record holds the endings of one content, as exchanged between tables.
 type Record struct {
 	Content Digest   `cbor:"1,keyasint"`
 	Endings []Ending `cbor:"2,keyasint"`
 }
 
-// ending is one Ending with its time.
+// ending is an Ending with absolute times.
 type ending struct {
 	sent, at time.Time
 	excused  bool
@@ -50,35 +49,34 @@
 
 type entry struct {
 	endings map[string]ending
-	// change is the number of the table's change that changed it last.
+	// change is the number of the table's last change of this entry.
 	change uint64
 }
 
-// Table keeps the contents under which servers have ended. It is not safe for concurrent
-// use.
+// Table holds the contents that were running when servers ended. It isn't safe for concurrent use.
 type Table struct {
 	contents map[Digest]*entry
-	// changes counts what has changed, so that a peer is told only what is new.
+	// changes is the number of changes so far, so that peers get only what is new.
 	changes uint64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{contents: map[Digest]*entry{}} }
 
-// Len returns the number of contents that are known.
+// Len returns the number of contents in the table.
 func (t *Table) Len() int { return len(t.contents) }
 
-// Changes is the number of the newest change.
+// Changes returns the number of the last change.
 func (t *Table) Changes() uint64 { return t.changes }
 
-// RecordEnding notes that a server ended at a time while it ran a content, which had been sent to
-// it for a while. It returns whether the content is blocked by that.
+// RecordEnding records that a server ended at a time, ran after the content had been sent to it. It
+// reports whether the content is blocked by this ending.
 func (t *Table) RecordEnding(now time.Time, d Digest, server string, at time.Time, ran time.Duration) bool {
 	return len(t.Merge(now, []Record{{Content: d, Endings: []Ending{{Server: server, Age: now.Sub(at), Ran: ran}}}})) > 0
 }
 
-// Excuse notes that a content has run to its end at a server that is there, which excuses it
-// from the endings known so far.
+// Excuse records that a content has completed on a server that is still running, which excuses it
+// from all endings known so far.
 func (t *Table) Excuse(d Digest) {
 	e := t.contents[d]
 	if e == nil {
@@ -98,7 +96,7 @@
 	e.change = t.changes
 }
 
-// Merge takes what another table tells and returns the contents that are blocked by that.
+// Merge adds the records of another table and returns the contents that are blocked by them.
 func (t *Table) Merge(now time.Time, list []Record) []Digest {
 	var blocked []Digest
 	for _, r := range list {
@@ -121,9 +119,9 @@
 	return blocked
 }
 
-// merge adds endings that are news and tells whether there were any. Several gateways may see
-// one server end, at times that differ: the earliest of each counts, so that all tables come
-// to the same, and what a way between two of them adds changes nothing.
+// merge adds endings and reports whether any of them was new. Several gateways may see the same
+// server end at different times: the earliest counts, so that all tables reach the same result, and
+// a delay on the way between two tables changes nothing.
 func (e *entry) merge(now time.Time, list []Ending) bool {
 	changed := false
 	for _, x := range list {
@@ -151,7 +149,7 @@
 	return a
 }
 
-// BlockedFor returns for how long a content is still refused; zero if it is not.
+// BlockedFor returns for how long a content will still be refused; zero if it isn't.
 func (t *Table) BlockedFor(now time.Time, d Digest) time.Duration {
 	e := t.contents[d]
 	if e == nil {
@@ -171,9 +169,9 @@
 	return n
 }
 
-// blockedFor counts the servers that ended one after the other. Of runs that were under way
-// together one ending counts: when a rack loses its power, all that many callers ask at that
-// moment ends with several servers at once.
+// blockedFor counts the servers that ended one after the other. Runs that overlapped count as one
+// ending: when a rack loses power, a content that many callers had sent at that moment ends with
+// several servers at once.
 func (e *entry) blockedFor(now time.Time) time.Duration {
 	if len(e.endings) < blockThreshold {
 		return 0
@@ -197,8 +195,8 @@
 	return max(newest.Add(blockDuration).Sub(now), 0)
 }
 
-// Since returns what has changed after a number of changes, of contents with at least a
-// number of endings, and the number of changes that this covers.
+// Since returns the records that have changed after change, of contents with at least minEndings
+// endings, and the number of the last change that they cover.
 func (t *Table) Since(now time.Time, change uint64, minEndings int) ([]Record, uint64) {
 	if change == t.changes {
 		return nil, change
@@ -218,7 +216,7 @@
 	return out, t.changes
 }
 
-// Sweep forgets what is too old to count.
+// Sweep removes expired endings.
 func (t *Table) Sweep(now time.Time) {
 	for d, e := range t.contents {
 		maps.DeleteFunc(e.endings, func(_ string, x ending) bool { return now.Sub(x.at) >= endingTTL })
@@ -228,7 +226,7 @@
 	}
 }
 
-// shrink forgets a quarter of the contents: those with the fewest endings, of these the
+// shrink removes a quarter of the contents: those with the fewest endings, and among these the
 // oldest.
 func (t *Table) shrink() {
 	list := slices.Collect(maps.Keys(t.contents))
