--- a/registry/registry.go
+++ b/registry/registry.go
@@ -85,45 +85,45 @@
 	return s.ID
 }
 
-// same tells whether two reports differ only in their number.
-func same(a, b Server) bool {
+// sameReport tells whether two reports differ only in their number.
+func sameReport(a, b Server) bool {
 	a.Sequence, a.Age, a.Cold = b.Sequence, b.Age, b.Cold
 	return a == b
 }
 
 type entry struct {
-	server  Server
-	heardAt time.Time
+	server     Server
+	reportedAt time.Time
 	// coldUntil is when it is warm, by its newest report.
 	coldUntil time.Time
 }
 
-// coldNews is the difference from which on another end of a cold span is news: reports come
+// coldTolerance is the difference from which on another end of a cold span is news: reports come
 // some tenths of a second late.
-const coldNews = 400 * time.Millisecond
+const coldTolerance = 400 * time.Millisecond
 
-// newlyCold tells whether a server is cold until another time than was known.
-func (e *entry) newlyCold(now, until time.Time) bool {
+// coldEndChanged tells whether a server is cold until another time than was known.
+func (e *entry) coldEndChanged(now, until time.Time) bool {
 	if !e.coldUntil.After(now) && !until.After(now) {
 		return false
 	}
-	return until.Sub(e.coldUntil).Abs() >= coldNews
+	return until.Sub(e.coldUntil).Abs() >= coldTolerance
 }
 
-// coldFor returns how much longer a server is cold, from a time on.
-func (e *entry) coldFor(from time.Time) time.Duration { return max(e.coldUntil.Sub(from), 0) }
+// coldRemaining returns how much longer a server is cold, from a time on.
+func (e *entry) coldRemaining(from time.Time) time.Duration { return max(e.coldUntil.Sub(from), 0) }
 
 // Registry is the set of known servers. It is not safe for concurrent use.
 type Registry struct {
-	servers map[string]*entry
-	starts  *Incarnations
-	// keep is how long a silent server stays listed.
-	keep time.Duration
+	servers      map[string]*entry
+	incarnations *Incarnations
+	// ttl is how long a silent server stays listed.
+	ttl time.Duration
 }
 
 // New returns an empty registry that forgets servers that are silent for keep.
-func New(keep time.Duration) *Registry {
-	return &Registry{servers: map[string]*entry{}, starts: NewIncarnations(), keep: keep}
+func New(ttl time.Duration) *Registry {
+	return &Registry{servers: map[string]*entry{}, incarnations: NewIncarnations(), ttl: ttl}
 }
 
 // Update is a server of which a report tells something new.
@@ -134,11 +134,11 @@
 }
 
 // Resolve returns a report about a server with the start that it is about.
-func (r *Registry) Resolve(s Server) Server { return r.starts.Resolve(s) }
+func (r *Registry) Resolve(s Server) Server { return r.incarnations.Resolve(s) }
 
-// contradicts tells whether a report says of a start that is known what only another server
+// mismatches tells whether a report says of a start that is known what only another server
 // can say.
-func (r *Registry) contradicts(s Server) bool {
+func (r *Registry) mismatches(s Server) bool {
 	old := r.servers[s.ID]
 	return old != nil && s.State != Gone && old.server.State != Gone &&
 		(old.server.Service != s.Service || s.Address != "" && old.server.Address != s.Address)
@@ -150,10 +150,10 @@
 // error tells why a report is not taken: ErrEarlier or ErrAnother. A late report is none.
 func (r *Registry) Report(now time.Time, s Server) ([]Update, error) {
 	s = r.Resolve(s)
-	if r.contradicts(s) {
+	if r.mismatches(s) {
 		return nil, ErrMismatch
 	}
-	replaced, err := r.starts.Record(now, s)
+	replaced, err := r.incarnations.Record(now, s)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	if replaced.ID != "" {
 		out = append(out, r.replace(replaced, s))
 	}
-	if n, ok := r.take(now, s); ok {
+	if n, ok := r.store(now, s); ok {
 		out = append(out, n)
 	}
 	return out, nil
@@ -169,42 +169,42 @@
 
 // replace ends a start since a later one has come. It is news also if the earlier one has
 // gone or was forgotten before: who was told only that may still wait for its answers.
-func (r *Registry) replace(start, by Server) Update {
-	start.State, start.Next = Gone, by.Born
-	old := r.servers[start.ID]
+func (r *Registry) replace(ended, successor Server) Update {
+	ended.State, ended.Next = Gone, successor.Born
+	old := r.servers[ended.ID]
 	if old == nil {
-		return Update{Server: start}
+		return Update{Server: ended}
 	}
 	before := old.server
-	old.server.State, old.server.Next = Gone, by.Born
+	old.server.State, old.server.Next = Gone, successor.Born
 	return Update{Server: old.server, Previous: &before}
 }
 
-// take puts a report in the place of the one before.
-func (r *Registry) take(now time.Time, s Server) (Update, bool) {
-	heard := now.Add(-s.Age)
-	coldUntil := heard.Add(s.Cold)
+// store puts a report in the place of the one before.
+func (r *Registry) store(now time.Time, s Server) (Update, bool) {
+	reported := now.Add(-s.Age)
+	coldUntil := reported.Add(s.Cold)
 	s.Age, s.Cold = 0, max(coldUntil.Sub(now), 0)
 	old := r.servers[s.ID]
 	if old == nil {
-		r.servers[s.ID] = &entry{server: s, heardAt: heard, coldUntil: coldUntil}
+		r.servers[s.ID] = &entry{server: s, reportedAt: reported, coldUntil: coldUntil}
 		return Update{Server: s}, true
 	}
-	if heard.After(old.heardAt) {
-		old.heardAt = heard
+	if reported.After(old.reportedAt) {
+		old.reportedAt = reported
 	}
-	if rank(s.State) < rank(old.server.State) || s.Sequence < old.server.Sequence && s.State == old.server.State {
+	if stateOrder(s.State) < stateOrder(old.server.State) || s.Sequence < old.server.Sequence && s.State == old.server.State {
 		return Update{}, false
 	}
 	if s.State == Gone {
 		s = old.server
 		s.State = Gone
 	}
-	cold := s.State == Ready && old.newlyCold(now, coldUntil)
+	cold := s.State == Ready && old.coldEndChanged(now, coldUntil)
 	if s.State == Ready {
 		old.coldUntil = coldUntil
 	}
-	if same(old.server, s) && !cold {
+	if sameReport(old.server, s) && !cold {
 		old.server = s
 		return Update{}, false
 	}
@@ -213,7 +213,7 @@
 	return Update{Server: s, Previous: &before}, true
 }
 
-func rank(s State) int {
+func stateOrder(s State) int {
 	switch s {
 	case Draining:
 		return 1
@@ -232,15 +232,15 @@
 	return e.server, true
 }
 
-// leftKeep is how long a server that leaves or has left is remembered: a report
+// leftRetention is how long a server that leaves or has left is remembered: a report
 // from before may come late, and must not bring it back.
-const leftKeep = time.Minute
+const leftRetention = time.Minute
 
 // Refresh takes that servers have reported themselves, with nothing new, at a time.
 func (r *Registry) Refresh(at time.Time, ids []string) {
 	for _, id := range ids {
-		if e := r.servers[id]; e != nil && at.After(e.heardAt) {
-			e.heardAt = at
+		if e := r.servers[id]; e != nil && at.After(e.reportedAt) {
+			e.reportedAt = at
 		}
 	}
 }
@@ -249,16 +249,16 @@
 func (r *Registry) Expire(now time.Time) []Server {
 	var out []Server
 	for id, e := range r.servers {
-		keep := r.keep
+		ttl := r.ttl
 		if e.server.State != Ready {
-			keep = max(keep, leftKeep)
+			ttl = max(ttl, leftRetention)
 		}
-		if now.Sub(e.heardAt) > keep {
+		if now.Sub(e.reportedAt) > ttl {
 			out = append(out, e.server)
 			delete(r.servers, id)
 		}
 	}
-	r.starts.Sweep(now)
+	r.incarnations.Sweep(now)
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
@@ -268,7 +268,7 @@
 	out := make([]Server, 0, len(r.servers))
 	for _, e := range r.servers {
 		s := e.server
-		s.Age, s.Cold = now.Sub(e.heardAt), e.coldFor(e.heardAt)
+		s.Age, s.Cold = now.Sub(e.reportedAt), e.coldRemaining(e.reportedAt)
 		out = append(out, s)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
