--- a/route/organisation.go
+++ b/route/organisation.go
@@ -94,7 +94,7 @@
 	return both, len(both) > 0
 }
 
-func (o *Organisation) check() error {
+func (o *Organisation) validate() error {
 	if o.Unit != Requests && o.Unit != Tokens {
 		return fmt.Errorf("unknown unit %q", o.Unit)
 	}
@@ -109,11 +109,11 @@
 	return nil
 }
 
-// checkOrganisations returns what is wrong with the organisations, naming the place
+// validateOrganisations returns what is wrong with the organisations, naming the place
 // but no key.
-func checkOrganisations(list []Organisation) error {
+func validateOrganisations(list []Organisation) error {
 	names := map[string]bool{}
-	holders := map[KeyDigest]int{}
+	firstByKey := map[KeyDigest]int{}
 	empty := DigestOf("")
 	for i := range list {
 		o := &list[i]
@@ -121,24 +121,26 @@
 			return fmt.Errorf("organisations[%d]: the name %q is empty or stands twice", i, o.Name)
 		}
 		names[o.Name] = true
-		if err := o.check(); err != nil {
+		if err := o.validate(); err != nil {
 			return fmt.Errorf("organisations[%d] (%s): %w", i, o.Name, err)
 		}
 		for n, key := range o.Keys {
 			if key == empty {
 				return fmt.Errorf("organisations[%d] (%s): key %d is empty", i, o.Name, n)
 			}
-			if first, ok := holders[key]; ok {
+			if first, ok := firstByKey[key]; ok {
 				return fmt.Errorf("organisations[%d] (%s): key %d stands at organisations[%d] too", i, o.Name, n, first)
 			}
-			holders[key] = i
+			firstByKey[key] = i
 		}
 	}
 	return nil
 }
 
 // OrganisationByKey returns the organisation that holds a key, or nil.
-func (t *Table) OrganisationByKey(key string) *Organisation { return t.holders[DigestOf(key)] }
+func (t *Table) OrganisationByKey(key string) *Organisation {
+	return t.organisationsByKey[DigestOf(key)]
+}
 
 // Organisation returns an organisation by name, or nil.
 func (t *Table) Organisation(name string) *Organisation {
--- a/route/route.go
+++ b/route/route.go
@@ -125,9 +125,9 @@
 	Keyed         bool           `cbor:"6,keyasint,omitempty" json:"keyed,omitempty"`
 	Organisations []Organisation `cbor:"7,keyasint,omitempty" json:"organisations,omitempty"`
 
-	byHost   map[string][]*Route
-	services map[string]*Service
-	holders  map[KeyDigest]*Organisation
+	byHost             map[string][]*Route
+	services           map[string]*Service
+	organisationsByKey map[KeyDigest]*Organisation
 }
 
 // Validate returns what is wrong with a table, naming the place.
@@ -142,22 +142,22 @@
 			return fmt.Errorf("services[%d] (%s): want a rate and a time of cold servers of 0 or more", i, s.Name)
 		}
 	}
-	places := map[string]int{}
+	firstByHostPrefix := map[string]int{}
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		if err := r.check(known); err != nil {
+		if err := r.validate(known); err != nil {
 			return fmt.Errorf("routes[%d] (%s): %w", i, r.Name, err)
 		}
-		place := strings.ToLower(r.Host) + " " + r.Prefix
-		if first, ok := places[place]; ok {
+		hostPrefix := strings.ToLower(r.Host) + " " + r.Prefix
+		if first, ok := firstByHostPrefix[hostPrefix]; ok {
 			return fmt.Errorf("routes[%d] (%s): routes[%d] has the same host and prefix", i, r.Name, first)
 		}
-		places[place] = i
+		firstByHostPrefix[hostPrefix] = i
 	}
-	return checkOrganisations(t.Organisations)
+	return validateOrganisations(t.Organisations)
 }
 
-func (r *Route) check(services map[string]bool) error {
+func (r *Route) validate(services map[string]bool) error {
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fmt.Errorf("want a host, and a prefix that begins and ends with a slash, not %q", r.Prefix)
 	}
@@ -200,10 +200,10 @@
 	for i := range t.Services {
 		t.services[t.Services[i].Name] = &t.Services[i]
 	}
-	t.holders = map[KeyDigest]*Organisation{}
+	t.organisationsByKey = map[KeyDigest]*Organisation{}
 	for i := range t.Organisations {
 		for _, key := range t.Organisations[i].Keys {
-			t.holders[key] = &t.Organisations[i]
+			t.organisationsByKey[key] = &t.Organisations[i]
 		}
 	}
 }
@@ -247,12 +247,12 @@
 	for _, w := range r.Services {
 		total += w.Weight
 	}
-	left := int(at * float64(total))
+	remaining := int(at * float64(total))
 	for _, w := range r.Services {
-		if left < w.Weight {
+		if remaining < w.Weight {
 			return w.Service
 		}
-		left -= w.Weight
+		remaining -= w.Weight
 	}
 	return r.Services[0].Service
 }
