--- a/roles/roles.go
+++ b/roles/roles.go
@@ -41,33 +41,33 @@
 
 // Constants of the planner.
 const (
-	// memoryTime is the time over which use is averaged.
-	memoryTime  = 15 * time.Second
-	leastMemory = 2 * time.Second
-	idleUse     = 0.05
-	// leastUse is the use of the decode engines below which the balance says
+	// averagingTime is the time over which use is averaged.
+	averagingTime    = 15 * time.Second
+	minAveragingTime = 2 * time.Second
+	idleUtilization  = 0.05
+	// minUtilization is the use of the decode engines below which the balance says
 	// nothing.
-	leastUse = 0.4
-	// balance is the use of prefill engines over that of decode engines that
+	minUtilization = 0.4
+	// targetRatio is the use of prefill engines over that of decode engines that
 	// is aimed at. A prompt waits tenths of a second where engines are busy, a
 	// run that finds no room is refused.
-	balance = 1.1
-	// shortUse is the use from which on prefill engines may get more of them.
+	targetRatio = 1.1
+	// minPrefillUtilization is the use from which on prefill engines may get more of them.
 	// When a load rises, prefill engines are busy at once and decode engines
 	// only once runs have added up: the balance alone would take that for a want
 	// of prefill engines, and take decode engines away at the worst time.
-	shortUse = 0.55
-	// offBy is the number of engines that the balance must be off by: more than half
+	minPrefillUtilization = 0.55
+	// minImbalance is the number of engines that the balance must be off by: more than half
 	// of one, which would only be rounding.
-	offBy = 0.6
-	// between is the least time between the orders for a service, and batchOf
+	minImbalance = 0.6
+	// minChangeInterval is the least time minChangeInterval the orders for a service, and batchOf
 	// the number of engines for each of which one decode engine may become a prefill
 	// engine at once.
-	between = 8 * time.Second
-	batchOf = 12
-	// settled is how long the set of engines must stay the same before the
+	minChangeInterval = 8 * time.Second
+	enginesPerChange  = 12
+	// settlingTime is how long the set of engines must stay the same before the
 	// first order.
-	settled = 1500 * time.Millisecond
+	settlingTime = 1500 * time.Millisecond
 )
 
 // Planner plans for one service.
@@ -75,13 +75,13 @@
 	// PrefillShare is the share of prefill engines while there is no load to tell.
 	PrefillShare float64
 
-	prefillUse, decodeUse float64
-	// useSince is when the engines began to be used.
-	useSince  time.Time
-	seenAt    time.Time
-	orderedAt time.Time
-	changedAt time.Time
-	count     int
+	prefillUtilization, decodeUtilization float64
+	// busySince is when the engines began to be used.
+	busySince   time.Time
+	observedAt  time.Time
+	plannedAt   time.Time
+	changedAt   time.Time
+	engineCount int
 	// loaded tells that there has been load since the start. Before, engines
 	// are not missed, and several may change their roles at once.
 	loaded bool
@@ -97,36 +97,36 @@
 // since each takes its room along.
 func (p *Planner) Plan(now time.Time, engines []Engine) []Change {
 	p.Observe(now, engines)
-	prefill, decode, away := split(engines)
-	if len(engines) != p.count {
-		p.count, p.changedAt = len(engines), now
+	prefill, decode, switching := byRole(engines)
+	if len(engines) != p.engineCount {
+		p.engineCount, p.changedAt = len(engines), now
 	}
-	p.loaded = p.loaded || p.decodeUse >= leastUse
-	if now.Sub(p.changedAt) < settled || p.loaded && (away || now.Sub(p.orderedAt) < between) {
+	p.loaded = p.loaded || p.decodeUtilization >= minUtilization
+	if now.Sub(p.changedAt) < settlingTime || p.loaded && (switching || now.Sub(p.plannedAt) < minChangeInterval) {
 		return nil
 	}
-	want := math.Max(p.want(len(prefill), len(decode)), p.floor(len(engines)))
-	orders := p.orders(prefill, decode, want)
+	want := math.Max(p.wantPrefill(len(prefill), len(decode)), p.minPrefill(len(engines)))
+	orders := p.changes(prefill, decode, want)
 	if len(orders) > 0 {
-		p.orderedAt = now
+		p.plannedAt = now
 	}
 	return orders
 }
 
-// orders returns the changes that bring the number of prefill engines towards
+// changes returns the changes that bring the number of prefill engines towards
 // the one that is wanted.
-func (p *Planner) orders(prefill, decode []Engine, want float64) []Change {
+func (p *Planner) changes(prefill, decode []Engine, want float64) []Change {
 	var out []Change
-	most := max((len(prefill)+len(decode))/batchOf, 1)
+	maxPrefillChanges := max((len(prefill)+len(decode))/enginesPerChange, 1)
 	for len(out) < len(prefill)+len(decode) {
-		o := Change{Prefill: len(prefill), Decode: len(decode), PrefillUtilization: p.prefillUse, DecodeUtilization: p.decodeUse, WantPrefill: want}
-		switch off := want - float64(len(prefill)); {
-		case off < -offBy && len(prefill) > 1:
+		o := Change{Prefill: len(prefill), Decode: len(decode), PrefillUtilization: p.prefillUtilization, DecodeUtilization: p.decodeUtilization, WantPrefill: want}
+		switch imbalance := want - float64(len(prefill)); {
+		case imbalance < -minImbalance && len(prefill) > 1:
 			o.Engine, o.Role = surplus(prefill), registry.Decode
-			prefill, decode = change(prefill, decode, o.Engine)
-		case off > offBy && len(out) < most && len(decode) > 1 && (p.prefillUse >= shortUse || float64(len(prefill)) < p.floor(len(prefill)+len(decode))):
-			o.Engine, o.Role = lightest(decode, prefill), registry.Prefill
-			decode, prefill = change(decode, prefill, o.Engine)
+			prefill, decode = move(prefill, decode, o.Engine)
+		case imbalance > minImbalance && len(out) < maxPrefillChanges && len(decode) > 1 && (p.prefillUtilization >= minPrefillUtilization || float64(len(prefill)) < p.minPrefill(len(prefill)+len(decode))):
+			o.Engine, o.Role = leastUtilized(decode, prefill), registry.Prefill
+			decode, prefill = move(decode, prefill, o.Engine)
 		default:
 			return out
 		}
@@ -135,8 +135,8 @@
 	return out
 }
 
-// change moves an engine from one list to the other.
-func change(from, to []Engine, id string) (rest, grown []Engine) {
+// move moves an engine from one list to the other.
+func move(from, to []Engine, id string) (rest, grown []Engine) {
 	for _, e := range from {
 		if e.ID == id {
 			to = append(to, e)
@@ -147,9 +147,9 @@
 	return rest, to
 }
 
-func split(engines []Engine) (prefill, decode []Engine, away bool) {
+func byRole(engines []Engine) (prefill, decode []Engine, switching bool) {
 	for _, e := range engines {
-		away = away || e.Switching
+		switching = switching || e.Switching
 		switch e.Role {
 		case registry.Prefill:
 			prefill = append(prefill, e)
@@ -157,25 +157,25 @@
 			decode = append(decode, e)
 		}
 	}
-	return prefill, decode, away
+	return prefill, decode, switching
 }
 
 // Observe averages how busy the engines of each role are.
 func (p *Planner) Observe(now time.Time, engines []Engine) {
-	prefill, decode, _ := split(engines)
-	use := used(decode)
-	if p.useSince.IsZero() || p.decodeUse < idleUse && use < idleUse {
-		p.useSince = now
+	prefill, decode, _ := byRole(engines)
+	utilization := meanUtilization(decode)
+	if p.busySince.IsZero() || p.decodeUtilization < idleUtilization && utilization < idleUtilization {
+		p.busySince = now
 	}
-	passed := now.Sub(p.seenAt)
-	p.seenAt = now
-	memory := min(max(now.Sub(p.useSince), leastMemory), memoryTime)
-	part := min(float64(passed)/float64(memory), 1) // the first time counts whole
-	p.prefillUse += part * (busy(prefill) - p.prefillUse)
-	p.decodeUse += part * (use - p.decodeUse)
+	elapsed := now.Sub(p.observedAt)
+	p.observedAt = now
+	window := min(max(now.Sub(p.busySince), minAveragingTime), averagingTime)
+	weight := min(float64(elapsed)/float64(window), 1) // the first time counts whole
+	p.prefillUtilization += weight * (busyRatio(prefill) - p.prefillUtilization)
+	p.decodeUtilization += weight * (utilization - p.decodeUtilization)
 }
 
-func busy(list []Engine) float64 {
+func busyRatio(list []Engine) float64 {
 	n := 0.0
 	for _, e := range list {
 		if e.Busy {
@@ -185,7 +185,7 @@
 	return n / float64(max(len(list), 1))
 }
 
-func used(list []Engine) float64 {
+func meanUtilization(list []Engine) float64 {
 	sum := 0.0
 	for _, e := range list {
 		sum += e.Utilization
@@ -193,31 +193,31 @@
 	return sum / float64(max(len(list), 1))
 }
 
-// want returns the number of prefill engines at which both roles would be full
+// wantPrefill returns the number of prefill engines at which both roles would be full
 // at the same load: the engines are divided as the work is.
-func (p *Planner) want(prefill, decode int) float64 {
-	all := prefill + decode
+func (p *Planner) wantPrefill(prefill, decode int) float64 {
+	total := prefill + decode
 	if prefill == 0 {
 		return 1
 	}
-	if p.decodeUse < leastUse {
+	if p.decodeUtilization < minUtilization {
 		if p.loaded {
 			return float64(prefill) // what the load asked for stays
 		}
-		return math.Max(math.Round(p.PrefillShare*float64(all)), 1)
+		return math.Max(math.Round(p.PrefillShare*float64(total)), 1)
 	}
-	reads, runs := float64(prefill)*p.prefillUse, float64(decode)*p.decodeUse
-	return float64(all) * reads / (reads + balance*runs)
+	prefillLoad, decodeLoad := float64(prefill)*p.prefillUtilization, float64(decode)*p.decodeUtilization
+	return float64(total) * prefillLoad / (prefillLoad + targetRatio*decodeLoad)
 }
 
-// floorShare is the part of the share of the settings below which prefill engines
+// minShareRatio is the part of the share of the settings below which prefill engines
 // never fall: the loss of one, or the return of all callers after a fault, would
 // leave prompts waiting for the seconds that another change takes.
-const floorShare = 0.5
+const minShareRatio = 0.5
 
-// floor is the least number of prefill engines.
-func (p *Planner) floor(all int) float64 {
-	return math.Ceil(floorShare * p.PrefillShare * float64(all))
+// minPrefill is the least number of prefill engines.
+func (p *Planner) minPrefill(total int) float64 {
+	return math.Ceil(minShareRatio * p.PrefillShare * float64(total))
 }
 
 // surplus returns a prefill engine of the zone that has most of them, an idle one if
@@ -240,9 +240,9 @@
 	return prefill[0].ID
 }
 
-// lightest returns the least used decode engine, of a zone with few prefill
+// leastUtilized returns the least used decode engine, of a zone with few prefill
 // engines if there is one.
-func lightest(decode, prefill []Engine) string {
+func leastUtilized(decode, prefill []Engine) string {
 	zones := map[string]int{}
 	for _, e := range prefill {
 		zones[e.Zone]++
