--- a/order/order.go
+++ b/order/order.go
@@ -43,27 +43,27 @@
 
 // Gate decides which orders pass.
 type Gate struct {
-	high Fence
-	open bool
+	highest Fence
+	open    bool
 }
 
 // SetFloor raises the fence to f and opens the gate. It must come from a leader
 // that holds a live majority lease; a lower fence changes nothing.
 func (g *Gate) SetFloor(f Fence) {
-	if !f.Less(g.high) {
-		g.high = f
+	if !f.Less(g.highest) {
+		g.highest = f
 		g.open = true
 	}
 }
 
 // Allow tells whether an order with fence f may be carried out.
 func (g *Gate) Allow(f Fence) bool {
-	if !g.open || f.Less(g.high) || f == g.high {
+	if !g.open || f.Less(g.highest) || f == g.highest {
 		return false
 	}
-	g.high = f
+	g.highest = f
 	return true
 }
 
 // Highest returns the highest fence seen, and whether the gate is open.
-func (g *Gate) Highest() (Fence, bool) { return g.high, g.open }
+func (g *Gate) Highest() (Fence, bool) { return g.highest, g.open }
--- a/order/plan.go
+++ b/order/plan.go
@@ -55,21 +55,21 @@
 }
 
 type pending struct {
-	id    string
-	site  string // whose rate of the weight store it takes; empty if none
-	until time.Time
-	// before is what the server had: the order is over once that changes.
-	before string
+	id      string
+	site    string // whose rate of the weight store it takes; empty if none
+	expires time.Time
+	// stateBefore is what the server had: the order is over once that changes.
+	stateBefore string
 }
 
-// reportTime is how long the report of a server may lag behind what it did.
-const reportTime = 15 * time.Second
+// maxReportDelay is how long the report of a server may lag behind what it did.
+const maxReportDelay = 15 * time.Second
 
-// state describes what a server has.
-func (s *Server) state() string { return s.HasRole + " " + strings.Join(s.Has, " ") }
+// currentState describes what a server has.
+func (s *Server) currentState() string { return s.HasRole + " " + strings.Join(s.Has, " ") }
 
-// minLoad is the least time that a load is thought to take.
-const minLoad = time.Second
+// minLoadTime is the least time that a load is thought to take.
+const minLoadTime = time.Second
 
 // Plan returns the orders to give now. Term is the term of the leader, which
 // must hold a live lease.
@@ -85,7 +85,7 @@
 			continue
 		}
 		if w, busy := p.pending[s.Name]; busy {
-			if w.before == s.state() {
+			if w.stateBefore == s.currentState() {
 				continue
 			}
 			delete(p.pending, s.Name)
@@ -101,7 +101,7 @@
 
 func (p *Planner) expire(now time.Time) {
 	for name, w := range p.pending {
-		if now.After(w.until) {
+		if now.After(w.expires) {
 			delete(p.pending, name)
 		}
 	}
@@ -121,29 +121,29 @@
 // has in another version, load adapters, and then unload what it should not
 // have.
 func (p *Planner) next(s Server, all []Server, models map[string]Model) (engine.Order, bool) {
-	if s.HasRole != "" && s.HasRole != s.Role && roleSpared(s, all) {
+	if s.HasRole != "" && s.HasRole != s.Role && roleRedundant(s, all) {
 		return engine.Order{Action: engine.ActionRole, Role: s.Role}, true
 	}
 	for _, m := range s.Want {
-		if o, ok := nextOfModel(s, all, m, models[m]); ok {
+		if o, ok := nextForModel(s, all, m, models[m]); ok {
 			return o, true
 		}
 	}
 	for _, a := range s.Has {
 		m, rest, _ := strings.Cut(a, "@")
-		if !strings.Contains(rest, "/") && !slices.Contains(s.Want, m) && spared(m, s, all) {
+		if !strings.Contains(rest, "/") && !slices.Contains(s.Want, m) && modelRedundant(m, s, all) {
 			return engine.Order{Action: engine.ActionUnload, Model: m, Version: rest}, true
 		}
 	}
 	return engine.Order{}, false
 }
 
-// nextOfModel brings one wanted model up to date. Loading another version may
+// nextForModel brings one wanted model up to date. Loading another version may
 // take the present one away, so another server has to have the model, unless
 // there is no other one.
-func nextOfModel(s Server, all []Server, name string, m Model) (engine.Order, bool) {
+func nextForModel(s Server, all []Server, name string, m Model) (engine.Order, bool) {
 	has := s.version(name)
-	if has == "" || has != m.Version && (spared(name, s, all) || alone(s, all)) {
+	if has == "" || has != m.Version && (modelRedundant(name, s, all) || onlyInPool(s, all)) {
 		return engine.Order{Action: engine.ActionLoad, Model: name, Version: m.Version}, true
 	}
 	for _, a := range m.Adapters {
@@ -154,8 +154,8 @@
 	return engine.Order{}, false
 }
 
-// mates calls f for the other servers of the pool until it returns true.
-func mates(s Server, all []Server, f func(Server) bool) bool {
+// anyPoolPeer calls f for the other servers of the pool until it returns true.
+func anyPoolPeer(s Server, all []Server, f func(Server) bool) bool {
 	for _, o := range all {
 		if o.Pool == s.Pool && o.Site == s.Site && o.Name != s.Name && f(o) {
 			return true
@@ -164,22 +164,22 @@
 	return false
 }
 
-// alone tells whether the pool has no other server.
-func alone(s Server, all []Server) bool {
-	return !mates(s, all, func(Server) bool { return true })
+// onlyInPool tells whether the pool has no other server.
+func onlyInPool(s Server, all []Server) bool {
+	return !anyPoolPeer(s, all, func(Server) bool { return true })
 }
 
-// spared tells whether a server may lose a model: another one of the pool that
+// modelRedundant tells whether a server may lose a model: another one of the pool that
 // is up has it, or no other one wants it.
-func spared(model string, s Server, all []Server) bool {
-	held := mates(s, all, func(o Server) bool { return o.Reachable && !o.Leaving && o.version(model) != "" })
-	wanted := slices.Contains(s.Want, model) || mates(s, all, func(o Server) bool { return slices.Contains(o.Want, model) })
+func modelRedundant(model string, s Server, all []Server) bool {
+	held := anyPoolPeer(s, all, func(o Server) bool { return o.Reachable && !o.Leaving && o.version(model) != "" })
+	wanted := slices.Contains(s.Want, model) || anyPoolPeer(s, all, func(o Server) bool { return slices.Contains(o.Want, model) })
 	return held || !wanted
 }
 
-// roleSpared tells whether a server may leave its present role: no server of
+// roleRedundant tells whether a server may leave its present role: no server of
 // the site should have it, or another one that is up has.
-func roleSpared(s Server, all []Server) bool {
+func roleRedundant(s Server, all []Server) bool {
 	wanted, held := false, false
 	for _, o := range all {
 		if o.Site != s.Site || o.Name == s.Name {
@@ -193,16 +193,16 @@
 
 func (p *Planner) order(now time.Time, term uint64, s Server, do engine.Order, models map[string]Model, lim StoreRates) Order {
 	p.seq++
-	took := minLoad
+	loadTime := minLoadTime
 	if rate := lim[s.Site]; do.Action == engine.ActionLoad && rate > 0 {
-		took = max(took, time.Duration(float64(models[do.Model].WeightBytes)/float64(rate)*float64(time.Second)))
+		loadTime = max(loadTime, time.Duration(float64(models[do.Model].WeightBytes)/float64(rate)*float64(time.Second)))
 	}
 	site := s.Site
 	if do.Action != engine.ActionLoad {
 		site = "" // takes nothing of the store's rate
 	}
 	o := Order{ID: fmt.Sprintf("%s/%s/%s%s%s", do.Action, s.Name, do.Model, do.Adapter, do.Role), Server: s.Name, Fence: Fence{Term: term, Seq: p.seq}, Do: do}
-	p.pending[s.Name] = pending{id: o.ID, site: site, until: now.Add(2*took + reportTime), before: s.state()}
+	p.pending[s.Name] = pending{id: o.ID, site: site, expires: now.Add(2*loadTime + maxReportDelay), stateBefore: s.currentState()}
 	return o
 }
 
