--- a/eventstream/block.go
+++ b/eventstream/block.go
@@ -18,7 +18,7 @@
 	// empty block.
 	LineEnd
 	// BOM: the byte order mark before a stream. A stream that goes on in an answer
-	// that has begun must not bring its own: there it is text, and spoils the name
+	// that has started must not bring its own: there it is text, and spoils the name
 	// of the field after it.
 	BOM
 )
--- a/eventstream/reader.go
+++ b/eventstream/reader.go
@@ -24,30 +24,30 @@
 // the begin of a stream. Not for use by several goroutines at once.
 type Reader struct {
 	// held has the begin of a block that is not whole yet.
-	held []byte
+	partial []byte
 	// given tells that held was given back and is to be emptied.
-	given bool
-	cut   cutter
-	err   error
+	returned bool
+	splitter splitter
+	err      error
 }
 
 // Reset makes the Reader ready for the begin of another stream. A rest is dropped.
 func (r *Reader) Reset() {
-	*r = Reader{held: r.held[:0]}
+	*r = Reader{partial: r.partial[:0]}
 }
 
 // Incomplete returns the begin of a block that is not whole yet. A stream that ends here
-// never made it an event; a caller that got it would take what follows for a
+// never made it an event; a caller that got it would take what inOrder for a
 // part of it. It is valid until the next call.
 func (r *Reader) Incomplete() []byte {
-	if r.given {
+	if r.returned {
 		return nil
 	}
-	return r.held
+	return r.partial
 }
 
 // MemoryBytes returns the bytes of memory that the Reader has.
-func (r *Reader) MemoryBytes() int { return cap(r.held) }
+func (r *Reader) MemoryBytes() int { return cap(r.partial) }
 
 // Next takes bytes of the piece up to the end of the first block, and returns that
 // block and the bytes not yet taken. If no block ends in the piece, all of it is
@@ -57,29 +57,29 @@
 	if r.err != nil {
 		return Block{}, piece, r.err
 	}
-	if r.given {
-		r.held, r.given = r.held[:0], false
+	if r.returned {
+		r.partial, r.returned = r.partial[:0], false
 	}
 	if len(piece) == 0 {
 		return Block{}, nil, nil
 	}
-	n, kind := r.cut.next(piece, len(r.held))
-	if len(r.held)+n > MaxBlockBytes {
-		r.held, r.err = r.held[:0], &TooLongError{Limit: MaxBlockBytes}
+	n, kind := r.splitter.next(piece, len(r.partial))
+	if len(r.partial)+n > MaxBlockBytes {
+		r.partial, r.err = r.partial[:0], &TooLongError{Limit: MaxBlockBytes}
 		return Block{}, piece, r.err
 	}
-	if kind == NoData && r.cut.takeLF(piece[n:]) {
+	if kind == NoData && r.splitter.consumeLF(piece[n:]) {
 		n++
 	}
-	return r.take(piece[:n], kind), piece[n:], nil
+	return r.finish(piece[:n], kind), piece[n:], nil
 }
 
 // take makes the block that ends with these bytes, or holds them.
-func (r *Reader) take(part []byte, kind Kind) Block {
-	raw := part
-	if len(r.held) > 0 || kind == None {
-		r.held = append(r.held, part...)
-		raw, r.given = r.held, kind != None
+func (r *Reader) finish(piece []byte, kind Kind) Block {
+	raw := piece
+	if len(r.partial) > 0 || kind == None {
+		r.partial = append(r.partial, piece...)
+		raw, r.returned = r.partial, kind != None
 	}
 	switch kind {
 	case None:
--- a/eventstream/sequence.go
+++ b/eventstream/sequence.go
@@ -27,45 +27,45 @@
 	// last is the ID of the last event that the caller has; its bytes are kept for
 	// the next one. known tells that an event had a number, number is the last
 	// one, and quiet the last one after it that came without data.
-	last          []byte
-	known         bool
-	number, quiet uint64
+	last                 []byte
+	known                bool
+	number, noDataNumber uint64
 	// extra tells that events without a number were passed after number, and
-	// nameless that the last event passed had no ID.
-	extra, nameless bool
-	// begun tells that the answer has a block, joined that the run has passed no event
+	// lastWithoutID that the last event passed had no ID.
+	unnumberedSince, lastWithoutID bool
+	// started tells that the answer has a block, atRunStart that the run has passed no event
 	// yet.
-	begun, joined bool
-	place         place
+	started, atRunStart bool
+	position            position
 }
 
-// place is where in the stream the run is that serves now.
-type place uint8
+// position is where in the stream the run is that serves now.
+type position uint8
 
 const (
-	// follows: what comes follows what the caller has.
-	follows place = iota
-	// behind: the last number that came was one that the caller has.
-	behind
-	// ahead: numbers before the one that came last are missing.
-	ahead
-	// unsure: the last number came again, and whether what follows it without a
+	// inOrder: what comes inOrder what the caller has.
+	inOrder position = iota
+	// duplicate: the last number that came was one that the caller has.
+	duplicate
+	// gap: numbers before the one that came last are missing.
+	gap
+	// ambiguous: the last number came again, and whether what inOrder it without a
 	// number is what the caller has can't be told.
-	unsure
+	ambiguous
 )
 
 // Resume sets the ID of the last event that the caller says it has, as of
 // `Last-Event-ID`; an empty one means that it has none. All else is forgotten: a
 // new answer begins.
 func (s *Sequence) Resume(last string) {
-	*s = Sequence{last: append(s.last[:0], last...), joined: true}
+	*s = Sequence{last: append(s.last[:0], last...), atRunStart: true}
 	s.number, s.known = number(last)
-	s.quiet = s.number
+	s.noDataNumber = s.number
 }
 
-// SwitchRun tells that another run serves from here, asked for what follows Last.
+// SwitchRun tells that another run serves from here, asked for what inOrder Last.
 func (s *Sequence) SwitchRun() {
-	s.quiet, s.place, s.joined = s.number, follows, true
+	s.noDataNumber, s.position, s.atRunStart = s.number, inOrder, true
 }
 
 // Last returns the ID to ask the next engine with, as it came; empty if the caller
@@ -78,7 +78,7 @@
 // an event coming twice: not if the last event passed had no ID, since it would
 // come again.
 func (s *Sequence) Resumable() bool {
-	return !s.nameless
+	return !s.lastWithoutID
 }
 
 // Check judges the next block of the run that serves. A block that passes counts as
@@ -86,76 +86,76 @@
 func (s *Sequence) Check(b Block) Verdict {
 	v := Verdict{Received: b.ID}
 	if s.known {
-		v.Expected = s.quiet + 1
+		v.Expected = s.noDataNumber + 1
 	}
 	n, numbered := number(b.ID)
 	switch {
-	case b.Kind == BOM && s.begun:
+	case b.Kind == BOM && s.started:
 		v.Decision = Repeated
 	case b.Kind == Event && numbered:
 		v.Decision = s.event(n, b.ID)
 	case b.Kind == Event:
 		v.Decision = s.unnumbered(b.ID)
 	case numbered:
-		v.Decision = s.dataless(n)
+		v.Decision = s.noData(n)
 	default:
 		v.Decision = Pass
 	}
-	s.begun = s.begun || v.Passes()
+	s.started = s.started || v.Passes()
 	return v
 }
 
 // event judges an event with a number.
 func (s *Sequence) event(n uint64, id []byte) Decision {
-	if d := s.find(n); d != Pass {
+	if d := s.locate(n); d != Pass {
 		return d
 	}
 	if s.known && n <= s.number {
 		return Repeated
 	}
-	*s = Sequence{last: append(s.last[:0], id...), known: true, number: n, quiet: n}
+	*s = Sequence{last: append(s.last[:0], id...), known: true, number: n, noDataNumber: n}
 	return Pass
 }
 
-// dataless judges a block that has a number and no data.
-func (s *Sequence) dataless(n uint64) Decision {
-	d := s.find(n)
+// noData judges a block that has a number and no data.
+func (s *Sequence) noData(n uint64) Decision {
+	d := s.locate(n)
 	if d == Pass && s.known {
-		s.quiet = max(s.quiet, n)
+		s.noDataNumber = max(s.noDataNumber, n)
 	}
 	return d
 }
 
-// find notes at which place a run is that sends a number. It may not go back
-// behind the last one, nor beyond the one due.
-func (s *Sequence) find(n uint64) Decision {
-	s.place = follows
+// locate notes at which position a run is that sends a number. It may not go back
+// duplicate the last one, nor beyond the one due.
+func (s *Sequence) locate(n uint64) Decision {
+	s.position = inOrder
 	switch {
 	case !s.known:
 	case n < s.number:
-		s.place = behind
+		s.position = duplicate
 		return Repeated
-	case n > s.quiet+1:
-		s.place = ahead
+	case n > s.noDataNumber+1:
+		s.position = gap
 		return Missing
-	case n == s.number && s.extra:
-		s.place = unsure
+	case n == s.number && s.unnumberedSince:
+		s.position = ambiguous
 	}
 	return Pass
 }
 
 // unnumbered judges an event without a number.
 func (s *Sequence) unnumbered(id []byte) Decision {
-	switch s.place {
-	case behind:
+	switch s.position {
+	case duplicate:
 		return Repeated
-	case ahead, unsure:
+	case gap, ambiguous:
 		return Missing
 	}
-	if s.joined && len(id) > 0 && bytes.Equal(id, s.last) {
+	if s.atRunStart && len(id) > 0 && bytes.Equal(id, s.last) {
 		return Repeated
 	}
-	s.extra, s.nameless, s.joined = true, len(id) == 0, false
+	s.unnumberedSince, s.lastWithoutID, s.atRunStart = true, len(id) == 0, false
 	if len(id) > 0 {
 		s.last = append(s.last[:0], id...)
 	}
--- a/eventstream/verdict.go
+++ b/eventstream/verdict.go
@@ -6,7 +6,7 @@
 type Decision uint8
 
 const (
-	// Pass: the caller gets it. It follows what the caller has, or is no event.
+	// Pass: the caller gets it. It inOrder what the caller has, or is no event.
 	Pass Decision = iota + 1
 	// Repeated: the caller has it, and must not get it again. The stream goes on.
 	Repeated
