--- a/compat/gate.go
+++ b/compat/gate.go
@@ -53,25 +53,27 @@
 	ranges map[string]Range
 	// since is the moment from which on all members have told a range that holds the next
 	// version; zero while one has not.
-	since    time.Time
-	next     int
-	proposed int
+	supportedSince time.Time
+	next           int
+	proposed       int
 }
 
 // SupportedSince returns the moment from which on all members could read the next version; zero while
 // one can't.
-func (g *Gate) SupportedSince() time.Time { return g.since }
+func (g *Gate) SupportedSince() time.Time { return g.supportedSince }
 
 // RangeChanged takes that a member has told another range than before, which may be over before the
 // next look: the settling time starts anew if it reads less.
 func (g *Gate) RangeChanged(before, after Range) {
-	if less(before, after) {
-		g.since = time.Time{}
+	if narrower(before, after) {
+		g.supportedSince = time.Time{}
 	}
 }
 
 // less tells whether a range misses a part of the one before it.
-func less(before, after Range) bool { return after.Least > before.Least || after.Most < before.Most }
+func narrower(before, after Range) bool {
+	return after.Least > before.Least || after.Most < before.Most
+}
 
 // RecordProposal takes that a version has been proposed.
 func (g *Gate) RecordProposal(version int) { g.proposed = version }
@@ -86,56 +88,56 @@
 	if g.proposed >= next {
 		return []Blocker{{Cause: CauseProposed}}
 	}
-	holds, able := look(next, members)
+	found, supported := blockers(next, members)
 	switch {
-	case !able:
-		g.since = time.Time{}
-	case g.since.IsZero() || g.next != next || g.changed(members):
-		g.since = now
+	case !supported:
+		g.supportedSince = time.Time{}
+	case g.supportedSince.IsZero() || g.next != next || g.anyNarrower(members):
+		g.supportedSince = now
 	}
 	g.next = next
 	g.ranges = map[string]Range{}
 	for _, m := range members {
 		g.ranges[m.ID] = m.Told
 	}
-	return holds
+	return found
 }
 
 // look returns what holds the next version back, and whether all members have told that they
 // can read it. One that is silent could before, so it does not begin the settling time anew.
-func look(next int, members []Member) (holds []Blocker, able bool) {
-	able = true
+func blockers(next int, members []Member) (found []Blocker, supported bool) {
+	supported = true
 	for _, m := range members {
 		switch {
 		case m.Told == Range{}:
-			holds = append(holds, Blocker{Cause: CauseNeverReported, Member: m.ID})
-			able = false
+			found = append(found, Blocker{Cause: CauseNeverReported, Member: m.ID})
+			supported = false
 		case !m.Told.Valid() || !m.Told.Contains(next):
-			holds = append(holds, Blocker{Cause: CauseUnable, Member: m.ID, Told: &m.Told})
-			able = false
+			found = append(found, Blocker{Cause: CauseUnable, Member: m.ID, Told: &m.Told})
+			supported = false
 		case m.Silent:
-			holds = append(holds, Blocker{Cause: CauseSilent, Member: m.ID, Told: &m.Told})
+			found = append(found, Blocker{Cause: CauseSilent, Member: m.ID, Told: &m.Told})
 		}
 	}
-	return holds, able
+	return found, supported
 }
 
 // changed tells whether a member has joined, or reads less than before.
-func (g *Gate) changed(members []Member) bool {
+func (g *Gate) anyNarrower(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool {
 		before, ok := g.ranges[m.ID]
-		return !ok || less(before, m.Told)
+		return !ok || narrower(before, m.Told)
 	})
 }
 
 // CheckSettled returns what keeps the version from rising by itself, though an operator could raise
 // it: the settling time, or that there is none.
-func (g *Gate) CheckSettled(now time.Time, after time.Duration) []Blocker {
-	if after <= 0 {
+func (g *Gate) CheckSettled(now time.Time, settling time.Duration) []Blocker {
+	if settling <= 0 {
 		return []Blocker{{Cause: CauseOperatorOnly}}
 	}
-	if left := after - now.Sub(g.since); left > 0 {
-		return []Blocker{{Cause: CauseSettling, Left: left}}
+	if remaining := settling - now.Sub(g.supportedSince); remaining > 0 {
+		return []Blocker{{Cause: CauseSettling, Left: remaining}}
 	}
 	return nil
 }
