--- a/registry/incarnation.go
+++ b/registry/incarnation.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// A server keeps the name that it gives itself when it starts again, and holds nothing of
-// before. So processes know a server by its start: everything that is kept by ID (loads,
-// evidence, holds, kept prompts, connections, roles, blocked contents) is that of one start.
+// A server keeps its name when it restarts, but nothing of its state. Processes therefore
+// identify a server by its incarnation: everything that is kept by ID (loads, evidence,
+// holds, kept prompts, connections, roles, blocked contents) belongs to one incarnation.
 
-// incarnationHashBytes is the length of a start's hash: 600 servers that start a thousand times each
-// share one by chance once in a hundred million years of such days.
+// incarnationHashBytes is the length of the hash in an incarnation's ID. With 600 servers
+// that restart a thousand times a day each, two IDs collide once in a hundred million
+// years.
 const incarnationHashBytes = 8
 
-// IncarnationID names one start of a server: its name if it does not tell when it was born, else
-// a hash that is no longer than a name, so that what passes between processes does not
-// grow.
+// IncarnationID returns the ID of an incarnation: the name of the server if its start
+// time is not reported, else a hash that is no longer than a name, so that messages
+// between processes do not grow.
 func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
@@ -27,19 +28,19 @@
 	return base64.RawURLEncoding.EncodeToString(sum[:incarnationHashBytes])
 }
 
-// MaxBorn is the latest time of a start that is taken, in Unix milliseconds: above it
-// other programs lose digits.
+// MaxBorn is the latest start time that is accepted, in Unix milliseconds. Programs that
+// hold numbers as float64 lose digits above it.
 const MaxBorn = 1 << 53
 
-// SameIncarnation tells whether a time of a start that a server has told of itself is that of s. One
-// that either does not tell is taken to be.
+// SameIncarnation reports whether a start time that a server reported belongs to s. If
+// either side has no start time, they are assumed to match.
 func (s Server) SameIncarnation(born int64) bool { return born == 0 || s.Born == 0 || born == s.Born }
 
-// newestRetention is how long the newest start of a name is remembered after its last report: an
-// earlier one must not come back, however late its reports are.
+// newestRetention is how long the newest incarnation of a name is remembered after its
+// last report. Late reports of an earlier incarnation must not restore it.
 const newestRetention = time.Hour
 
-// Incarnations knows the newest start of each server.
+// Incarnations holds the newest incarnation of each server.
 type Incarnations struct{ newest map[string]incarnation }
 
 type incarnation struct {
@@ -53,15 +54,16 @@
 
 // Errors of reports about servers.
 var (
-	// ErrSuperseded tells that a later start of the server is known.
-	ErrSuperseded = errors.New("registry: a later start of the server is known")
-	// ErrMismatch tells that the start is known with another service or address.
-	ErrMismatch = errors.New("registry: the start is known with another service or address")
+	// ErrSuperseded reports that a later incarnation of the server is known.
+	ErrSuperseded = errors.New("registry: a later incarnation of the server is known")
+	// ErrMismatch reports that the incarnation is known with another service or address.
+	ErrMismatch = errors.New("registry: the incarnation is known with another service or address")
 )
 
-// Resolve returns a report about a server with the start that it is about. A report that tells
-// no start is about the newest if it says that the server has gone, since some servers say
-// only that; else it is a report of an earlier start.
+// Resolve returns a report with the incarnation that it is about filled in. A report
+// without a start time is about the newest incarnation if its state is Gone, because some
+// servers report only that when they leave; otherwise it belongs to an earlier
+// incarnation.
 func (in *Incarnations) Resolve(s Server) Server {
 	if n, known := in.newest[s.StableName()]; known && s.Born == 0 && n.born > 0 && s.State == Gone {
 		s.ID, s.Name, s.Born = n.id, s.StableName(), n.born
@@ -69,8 +71,9 @@
 	return s
 }
 
-// Record notes a start. It returns what names the one that it replaces, nothing if there is
-// none, and ErrEarlier if a later one is known.
+// Record stores an incarnation. It returns the ID, name and start time of the incarnation
+// that it replaces, the zero Server if there is none, and ErrSuperseded if a later one is
+// known.
 func (in *Incarnations) Record(now time.Time, s Server) (replaced Server, err error) {
 	n, known := in.newest[s.StableName()]
 	switch {
@@ -86,7 +89,7 @@
 	return replaced, nil
 }
 
-// Sweep forgets servers of which nothing was heard for long.
+// Sweep removes servers without a report for longer than newestRetention.
 func (in *Incarnations) Sweep(now time.Time) {
 	for name, n := range in.newest {
 		if now.Sub(n.at) > newestRetention {
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,11 +1,11 @@
-// Package registry keeps which backend servers are there, by what they say of
-// themselves.
+// Package registry holds the backend servers that are present, according to their own
+// reports.
 //
-// It is soft state: servers repeat their reports, so that a process which has
-// just started knows all of them within one interval. A server that starts again under
-// its name is another one here: its later start replaces the earlier at once, and reports of
-// the earlier one never bring it back. Reports of one start carry rising sequence numbers;
-// a late one is known by its number.
+// It is soft state: servers repeat their reports, so that a process that has just started
+// knows all of them within one interval. A server that restarts under its name gets
+// another entry here: its later incarnation replaces the earlier one at once, and reports
+// of the earlier one never restore it. Reports of one incarnation carry increasing
+// sequence numbers, by which late ones are recognised.
 package registry
 
 import (
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// State is what a server says of itself.
+// State is the state that a server reports about itself.
 type State string
 
 // The states of a server.
 const (
 	Ready State = "ready"
-	// Draining servers finish their work and take no more.
+	// Draining servers finish their work and accept no more.
 	Draining State = "draining"
-	// Gone servers have left for good.
+	// Gone servers have left and do not come back.
 	Gone State = "gone"
 )
 
@@ -31,36 +31,38 @@
 	Decode  = "decode"
 )
 
-// Server is one start of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
-	// ID names the start (StartID).
+	// ID identifies the incarnation; see IncarnationID.
 	ID      string `cbor:"1,keyasint" json:"id"`
 	Service string `cbor:"2,keyasint" json:"service"`
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address string `cbor:"3,keyasint" json:"address"`
 	Zone    string `cbor:"4,keyasint" json:"zone"`
 	Slots   int    `cbor:"5,keyasint,omitempty" json:"slots"`
 	State   State  `cbor:"6,keyasint" json:"state"`
-	// Role is prefill or decode for an engine, empty for a plain service.
+	// Role is Prefill or Decode for an engine, empty for a plain service.
 	Role string `cbor:"7,keyasint,omitempty" json:"role,omitempty"`
-	// Sequence rises with every report of the incarnation.
+	// Sequence increases with every report of the incarnation.
 	Sequence uint64 `cbor:"8,keyasint" json:"sequence"`
-	// Age is how long ago the newest report came, when sent between processes.
+	// Age is the time since the newest report, in messages between processes.
 	Age time.Duration `cbor:"9,keyasint,omitempty" json:"-"`
-	// Name is what the server calls itself, in all its starts; empty if it is the ID.
+	// Name is the server's own name, the same in all its incarnations; empty if it equals
+	// the ID.
 	Name string `cbor:"10,keyasint,omitempty" json:"name,omitempty"`
-	// Born is when it started, in Unix milliseconds by its own clock; zero if it does
-	// not tell.
+	// Born is the start time in Unix milliseconds by the server's own clock; zero if it
+	// is not reported.
 	Born int64 `cbor:"11,keyasint,omitempty" json:"born,omitempty"`
-	// Next is when the start began that has replaced this one; zero if none is known.
+	// Next is the start time of the incarnation that replaced this one; zero if none is
+	// known.
 	Next int64 `cbor:"12,keyasint,omitempty" json:"-"`
-	// Cold is how much longer it bears fewer requests than usual, from the time of the
-	// report on (Age); zero if it is warm.
+	// Cold is how long the server remains cold and can serve fewer requests than usual,
+	// counted from the time of the report (see Age); zero if it is warm.
 	Cold time.Duration `cbor:"13,keyasint,omitempty" json:"cold,omitempty"`
 }
 
-// Newest returns the newest start of a server that a report tells of: the one itself, or the
-// one that has replaced it, of which no more is known.
+// Newest returns the newest incarnation that a report names: the server itself, or the
+// incarnation that replaced it, of which only the ID, name and start time are known.
 func (s Server) Newest() Server {
 	if s.Next == 0 {
 		return s
@@ -68,8 +70,9 @@
 	return Server{ID: IncarnationID(s.StableName(), s.Next), Name: s.StableName(), Born: s.Next}
 }
 
-// Published returns what is told of a server: all, or only when the next start began if one has
-// replaced this one, which makes the rest worthless.
+// Published returns the fields of a server that are sent to peers: all of them, or only
+// its identity and Next if another incarnation has replaced it, since the rest is
+// obsolete then.
 func (s Server) Published() Server {
 	if s.Next == 0 {
 		return s
@@ -77,7 +80,7 @@
 	return Server{ID: s.ID, Name: s.Name, Born: s.Born, State: Gone, Next: s.Next}
 }
 
-// StableName returns what the server calls itself.
+// StableName returns the server's own name, which stays the same when it restarts.
 func (s Server) StableName() string {
 	if s.Name != "" {
 		return s.Name
@@ -85,7 +88,7 @@
 	return s.ID
 }
 
-// sameReport tells whether two reports differ only in their number.
+// sameReport reports whether two reports are equal except for Sequence, Age and Cold.
 func sameReport(a, b Server) bool {
 	a.Sequence, a.Age, a.Cold = b.Sequence, b.Age, b.Cold
 	return a == b
@@ -94,15 +97,16 @@
 type entry struct {
 	server     Server
 	reportedAt time.Time
-	// coldUntil is when it is warm, by its newest report.
+	// coldUntil is when the server becomes warm, according to its newest report.
 	coldUntil time.Time
 }
 
-// coldTolerance is the difference from which on another end of a cold span is news: reports come
-// some tenths of a second late.
+// coldTolerance is the smallest change of the end of a cold period that is published.
+// Reports arrive some tenths of a second late.
 const coldTolerance = 400 * time.Millisecond
 
-// coldEndChanged tells whether a server is cold until another time than was known.
+// coldEndChanged reports whether the end of a server's cold period differs from the known
+// one.
 func (e *entry) coldEndChanged(now, until time.Time) bool {
 	if !e.coldUntil.After(now) && !until.After(now) {
 		return false
@@ -110,7 +114,7 @@
 	return until.Sub(e.coldUntil).Abs() >= coldTolerance
 }
 
-// coldRemaining returns how much longer a server is cold, from a time on.
+// coldRemaining returns how long the server remains cold after from.
 func (e *entry) coldRemaining(from time.Time) time.Duration { return max(e.coldUntil.Sub(from), 0) }
 
 // Registry is the set of known servers. It is not safe for concurrent use.
@@ -121,33 +125,35 @@
 	ttl time.Duration
 }
 
-// New returns an empty registry that forgets servers that are silent for keep.
+// New returns an empty registry that forgets servers that are silent for ttl.
 func New(ttl time.Duration) *Registry {
 	return &Registry{servers: map[string]*entry{}, incarnations: NewIncarnations(), ttl: ttl}
 }
 
-// Update is a server of which a report tells something new.
+// Update is a server that a report has changed.
 type Update struct {
 	Server Server
-	// Previous is what was known of it; nil if nothing was.
+	// Previous is the server before the report; nil if it was unknown.
 	Previous *Server
 }
 
-// Resolve returns a report about a server with the start that it is about.
+// Resolve returns a report with the incarnation that it is about filled in; see
+// Incarnations.Resolve.
 func (r *Registry) Resolve(s Server) Server { return r.incarnations.Resolve(s) }
 
-// mismatches tells whether a report says of a start that is known what only another server
-// can say.
+// mismatches reports whether a report gives a known incarnation another service or
+// address, which only another server can have.
 func (r *Registry) mismatches(s Server) bool {
 	old := r.servers[s.ID]
 	return old != nil && s.State != Gone && old.server.State != Gone &&
 		(old.server.Service != s.Service || s.Address != "" && old.server.Address != s.Address)
 }
 
-// Report takes a report and returns the servers of which it tells something new: a new
-// one, another report of a known one, and first of all the earlier start that a new one
-// replaces. A start that has said that it drains or is gone never becomes ready again. An
-// error tells why a report is not taken: ErrEarlier or ErrAnother. A late report is none.
+// Report stores a report and returns the servers that it changed: first the earlier
+// incarnation that a new one replaces, then the reported one if it is new or differs. An
+// incarnation that has reported Draining or Gone never becomes ready again. Report
+// returns ErrSuperseded or ErrMismatch if the report is rejected. A late report of a
+// known incarnation is not an error.
 func (r *Registry) Report(now time.Time, s Server) ([]Update, error) {
 	s = r.Resolve(s)
 	if r.mismatches(s) {
@@ -167,8 +173,9 @@
 	return out, nil
 }
 
-// replace ends a start since a later one has come. It is news also if the earlier one has
-// gone or was forgotten before: who was told only that may still wait for its answers.
+// replace marks an incarnation as gone because a later one has reported. It returns an
+// update even if the earlier one has gone or was forgotten before: a peer that knew only
+// the earlier one may still wait for its answers.
 func (r *Registry) replace(ended, successor Server) Update {
 	ended.State, ended.Next = Gone, successor.Born
 	old := r.servers[ended.ID]
@@ -180,7 +187,8 @@
 	return Update{Server: old.server, Previous: &before}
 }
 
-// store puts a report in the place of the one before.
+// store replaces the previous report of an incarnation, and reports whether that is an
+// update.
 func (r *Registry) store(now time.Time, s Server) (Update, bool) {
 	reported := now.Add(-s.Age)
 	coldUntil := reported.Add(s.Cold)
@@ -208,7 +216,7 @@
 		old.server = s
 		return Update{}, false
 	}
-	before := old.server // copied for news only: most reports have none, by hundreds a second
+	before := old.server // copied here, since most of the hundreds of reports per second change nothing
 	old.server = s
 	return Update{Server: s, Previous: &before}, true
 }
@@ -223,7 +231,7 @@
 	return 0
 }
 
-// Get returns a server by the name of its incarnation.
+// Get returns a server by the ID of its incarnation.
 func (r *Registry) Get(id string) (Server, bool) {
 	e := r.servers[id]
 	if e == nil {
@@ -232,11 +240,11 @@
 	return e.server, true
 }
 
-// leftRetention is how long a server that leaves or has left is remembered: a report
-// from before may come late, and must not bring it back.
+// leftRetention is how long a server that is leaving or has left is remembered. An
+// earlier report that arrives late must not restore it.
 const leftRetention = time.Minute
 
-// Refresh takes that servers have reported themselves, with nothing new, at a time.
+// Refresh records that servers have reported at a time without any change.
 func (r *Registry) Refresh(at time.Time, ids []string) {
 	for _, id := range ids {
 		if e := r.servers[id]; e != nil && at.After(e.reportedAt) {
@@ -245,7 +253,7 @@
 	}
 }
 
-// Expire forgets servers that have been silent for too long, and returns them.
+// Expire removes the servers that have been silent for too long and returns them.
 func (r *Registry) Expire(now time.Time) []Server {
 	var out []Server
 	for id, e := range r.servers {
@@ -263,7 +271,7 @@
 	return out
 }
 
-// List returns all servers, with their ages, in the order of their names.
+// List returns all servers with their ages, sorted by ID.
 func (r *Registry) List(now time.Time) []Server {
 	out := make([]Server, 0, len(r.servers))
 	for _, e := range r.servers {
--- a/registry/roster.go
+++ b/registry/roster.go
@@ -1,13 +1,14 @@
 package registry
 
-// Roster is the servers that a peer tells of over one link as ready and there. The
-// peer then tells only of exceptions, so that what passes while all goes well does not
-// grow with the number of servers.
+// Roster holds the servers that a peer has reported over one link as ready and present.
+// From then on the peer reports only exceptions, so that the traffic without faults does
+// not grow with the number of servers.
 type Roster struct {
 	servers map[string]bool
 }
 
-// Update takes what the peer tells of servers, and of which it tells no more.
+// Update applies a peer's reports of servers, and the IDs of those that it no longer
+// reports.
 func (r *Roster) Update(list []Server, dropped []string) {
 	if r.servers == nil {
 		r.servers = map[string]bool{}
@@ -24,7 +25,7 @@
 	}
 }
 
-// Except returns the servers of the roster but for those that are named.
+// Except returns the IDs of all servers of the roster except the silent ones.
 func (r *Roster) Except(silent []string) []string {
 	skip := map[string]bool{}
 	for _, id := range silent {
--- a/registry/roster_test.go
+++ b/registry/roster_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRosterExcept wants the servers that a peer has told of as ready, but for
-// those that it names, that leave, or that it tells of no more.
+// TestRosterExcept checks that a roster returns the servers reported as ready, except
+// those that are named as silent, that leave, or that the peer no longer reports.
 func TestRosterExcept(t *testing.T) {
 	ready := func(id string) Server { return Server{ID: id, State: Ready} }
 	var r Roster
