--- a/route/organisation_test.go
+++ b/route/organisation_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCostUsesUnitOfLimit wants requests counted in the unit of the limit.
+// TestCostUsesUnitOfLimit checks that requests are counted in the unit of the limit.
 func TestCostUsesUnitOfLimit(t *testing.T) {
 	tokens := Organisation{Unit: Tokens, PlainTokens: 200}
 	assert.Equal(t, tokens.Cost(1500), 1500.0)
@@ -18,8 +18,8 @@
 	assert.Equal(t, requests.Cost(1500), 1.0)
 }
 
-// TestTableSendsDigestsAndShowsNoKeys wants tables to bring the digests of keys to gateways, and what is
-// shown of a table to have neither keys nor digests.
+// TestTableSendsDigestsAndShowsNoKeys checks that gateways receive the digests of keys
+// with a table, and that its JSON form contains neither keys nor digests.
 func TestTableSendsDigestsAndShowsNoKeys(t *testing.T) {
 	in := Table{Version: 1, Keyed: true, Organisations: []Organisation{{Name: "one", Unit: Tokens, Keys: []KeyDigest{DigestOf("secret")}}}}
 	frame, err := cbor.Marshal(&in)
