--- a/roles/roles.go
+++ b/roles/roles.go
@@ -1,9 +1,8 @@
-// Package roles decides which engines of a service read prompts and which make
-// answers.
+// Package roles decides which engines of a service run prefills and which run decodes.
 //
-// An engine that changes its role is away for seconds, so changes are rare, and only
-// made if the balance is off by most of an engine. It is plain state: the time and what
-// is known are arguments.
+// An engine that changes its role is unavailable for seconds, so changes are rare and
+// happen only if the balance is off by more than half an engine. The package keeps plain
+// state: time and observations are arguments.
 package roles
 
 import (
@@ -14,12 +13,12 @@
 	"github.com/ledgepin/ledgepin/registry"
 )
 
-// Engine is one engine that takes requests, or is about to.
+// Engine is an engine that accepts requests or is about to.
 type Engine struct {
 	ID, Zone string
-	// Role is the role that it has, or will have once a change is done.
+	// Role is the role that the engine has, or gets when a change under way is complete.
 	Role string
-	// Switching tells that a change of its role is under way.
+	// Switching reports that a change of its role is under way.
 	Switching bool
 	// Busy tells that a prefill engine has prompts to read; Used is the share
 	// of a decode engine that its runs fill.
@@ -39,40 +38,40 @@
 	WantPrefill        float64
 }
 
-// Constants of the planner.
+// Parameters of the planner.
 const (
-	// averagingTime is the time over which use is averaged.
+	// averagingTime is the time over which utilization is averaged.
 	averagingTime    = 15 * time.Second
 	minAveragingTime = 2 * time.Second
 	idleUtilization  = 0.05
-	// minUtilization is the use of the decode engines below which the balance says
-	// nothing.
+	// minUtilization is the utilization of decode engines below which the balance is not
+	// evaluated.
 	minUtilization = 0.4
-	// targetRatio is the use of prefill engines over that of decode engines that
-	// is aimed at. A prompt waits tenths of a second where engines are busy, a
-	// run that finds no room is refused.
+	// targetRatio is the intended ratio of the utilization of prefill engines to that of
+	// decode engines. Prefill engines may be the busier ones: a prompt waits some tenths
+	// of a second there, but a run without capacity on a decode engine is refused.
 	targetRatio = 1.1
-	// minPrefillUtilization is the use from which on prefill engines may get more of them.
-	// When a load rises, prefill engines are busy at once and decode engines
-	// only once runs have added up: the balance alone would take that for a want
-	// of prefill engines, and take decode engines away at the worst time.
+	// minPrefillUtilization is the utilization of prefill engines from which on decode
+	// engines may become prefill engines. When load rises, prefill engines are busy at
+	// once and decode engines only after runs have accumulated. The balance alone would
+	// take that for a shortage of prefill engines and remove decode engines at the worst
+	// time.
 	minPrefillUtilization = 0.55
-	// minImbalance is the number of engines that the balance must be off by: more than half
-	// of one, which would only be rounding.
+	// minImbalance is the number of engines by which the balance must be off. Up to half
+	// an engine is only rounding.
 	minImbalance = 0.6
-	// minChangeInterval is the least time minChangeInterval the orders for a service, and batchOf
-	// the number of engines for each of which one decode engine may become a prefill
-	// engine at once.
+	// minChangeInterval is the minimum time between changes for a service.
 	minChangeInterval = 8 * time.Second
-	enginesPerChange  = 12
-	// settlingTime is how long the set of engines must stay the same before the
-	// first order.
+	// One decode engine per enginesPerChange engines may become a prefill engine at once.
+	enginesPerChange = 12
+	// settlingTime is how long the set of engines must be unchanged before the first
+	// change.
 	settlingTime = 1500 * time.Millisecond
 )
 
-// Planner plans for one service.
+// Planner plans the roles of one service.
 type Planner struct {
-	// PrefillShare is the share of prefill engines while there is no load to tell.
+	// PrefillShare is the share of prefill engines while there has been no load.
 	PrefillShare float64
 
 	prefillUtilization, decodeUtilization float64
@@ -82,19 +81,19 @@
 	plannedAt   time.Time
 	changedAt   time.Time
 	engineCount int
-	// loaded tells that there has been load since the start. Before, engines
+	// loaded reports whether there has been load since the start. Before that, engines
 	// are not missed, and several may change their roles at once.
 	loaded bool
 }
 
-// Resume returns the planner of a leader that follows another one: the roles
-// that it finds are those that a load has asked for.
+// Resume returns the planner of a leader that follows another one: it treats the present
+// roles as the result of load.
 func Resume(share float64) *Planner { return &Planner{PrefillShare: share, loaded: true} }
 
-// Plan takes what is known now and returns the next orders, if there are any. Prefill
-// engines that the load leaves idle change all at once: nobody misses them where they
-// are, and a burst may come before a next step. Decode engines change a few at a time,
-// since each takes its room along.
+// Plan records the present engines and returns the next changes, if any. Prefill engines
+// that the load leaves idle change all at once: their capacity is not in use, and a burst
+// may come before a second step. Decode engines change a few at a time, since each takes
+// its capacity away.
 func (p *Planner) Plan(now time.Time, engines []Engine) []Change {
 	p.Observe(now, engines)
 	prefill, decode, switching := byRole(engines)
@@ -113,8 +112,7 @@
 	return orders
 }
 
-// changes returns the changes that bring the number of prefill engines towards
-// the one that is wanted.
+// changes returns the changes that bring the number of prefill engines towards want.
 func (p *Planner) changes(prefill, decode []Engine, want float64) []Change {
 	var out []Change
 	maxPrefillChanges := max((len(prefill)+len(decode))/enginesPerChange, 1)
@@ -160,7 +158,7 @@
 	return prefill, decode, switching
 }
 
-// Observe averages how busy the engines of each role are.
+// Observe averages the utilization of the engines of each role.
 func (p *Planner) Observe(now time.Time, engines []Engine) {
 	prefill, decode, _ := byRole(engines)
 	utilization := meanUtilization(decode)
@@ -170,7 +168,7 @@
 	elapsed := now.Sub(p.observedAt)
 	p.observedAt = now
 	window := min(max(now.Sub(p.busySince), minAveragingTime), averagingTime)
-	weight := min(float64(elapsed)/float64(window), 1) // the first time counts whole
+	weight := min(float64(elapsed)/float64(window), 1) // the first observation has full weight
 	p.prefillUtilization += weight * (busyRatio(prefill) - p.prefillUtilization)
 	p.decodeUtilization += weight * (utilization - p.decodeUtilization)
 }
@@ -193,8 +191,8 @@
 	return sum / float64(max(len(list), 1))
 }
 
-// wantPrefill returns the number of prefill engines at which both roles would be full
-// at the same load: the engines are divided as the work is.
+// wantPrefill returns the number of prefill engines at which both roles would reach full
+// utilization at the same load: it divides the engines as the work is divided.
 func (p *Planner) wantPrefill(prefill, decode int) float64 {
 	total := prefill + decode
 	if prefill == 0 {
@@ -202,7 +200,7 @@
 	}
 	if p.decodeUtilization < minUtilization {
 		if p.loaded {
-			return float64(prefill) // what the load asked for stays
+			return float64(prefill) // keep the roles that the last load required
 		}
 		return math.Max(math.Round(p.PrefillShare*float64(total)), 1)
 	}
@@ -210,18 +208,18 @@
 	return float64(total) * prefillLoad / (prefillLoad + targetRatio*decodeLoad)
 }
 
-// minShareRatio is the part of the share of the settings below which prefill engines
-// never fall: the loss of one, or the return of all callers after a fault, would
-// leave prompts waiting for the seconds that another change takes.
+// minShareRatio is the ratio of PrefillShare below which the share of prefill engines
+// never falls. With fewer, the loss of one, or the return of all callers after a fault,
+// would leave prompts waiting for the seconds that another change takes.
 const minShareRatio = 0.5
 
-// minPrefill is the least number of prefill engines.
+// minPrefill returns the minimum number of prefill engines.
 func (p *Planner) minPrefill(total int) float64 {
 	return math.Ceil(minShareRatio * p.PrefillShare * float64(total))
 }
 
-// surplus returns a prefill engine of the zone that has most of them, an idle one if
-// there is one.
+// surplus returns a prefill engine of the zone with the most prefill engines, preferably
+// an idle one.
 func surplus(prefill []Engine) string {
 	zones := map[string]int{}
 	for _, e := range prefill {
@@ -240,8 +238,8 @@
 	return prefill[0].ID
 }
 
-// leastUtilized returns the least used decode engine, of a zone with few prefill
-// engines if there is one.
+// leastUtilized returns a decode engine of the zone with the fewest prefill engines,
+// there the one with the lowest utilization.
 func leastUtilized(decode, prefill []Engine) string {
 	zones := map[string]int{}
 	for _, e := range prefill {
