--- a/roles/roles.go
+++ b/roles/roles.go
@@ -20,8 +20,8 @@
 	Role string
 	// Switching reports that a change of its role is under way.
 	Switching bool
-	// Busy tells that a prefill engine has prompts to read; Used is the share
-	// of a decode engine that its runs fill.
+	// Busy reports that a prefill engine has prompts to process. Utilization is the share
+	// of a decode engine's capacity that its runs use, from 0 to 1.
 	Busy        bool
 	Utilization float64
 }
@@ -30,8 +30,9 @@
 type Change struct {
 	Engine string
 	Role   string
-	// Why tells the balance that led to it: the engines of each role, how busy
-	// they are, and how many prefill engines are wanted.
+	// Prefill and Decode count the engines of each role. With the fields below, the
+	// utilization of both and the required number of prefill engines, they give the
+	// reason for the change.
 	Prefill, Decode    int
 	PrefillUtilization float64
 	DecodeUtilization  float64
