--- a/roles/roles.go
+++ b/roles/roles.go
@@ -106,11 +106,11 @@
 		return nil
 	}
 	want := math.Max(p.wantPrefill(len(prefill), len(decode)), p.minPrefill(len(engines)))
-	orders := p.changes(prefill, decode, want)
-	if len(orders) > 0 {
+	changes := p.changes(prefill, decode, want)
+	if len(changes) > 0 {
 		p.plannedAt = now
 	}
-	return orders
+	return changes
 }
 
 // changes returns the changes that bring the number of prefill engines towards want.
