--- a/order/order.go
+++ b/order/order.go
@@ -1,10 +1,10 @@
-// Package order is about commands to engines: load a model, an adapter or a
-// version, or change role.
+// Package order holds the commands to engines: load a model, an adapter or a version, or
+// change the role.
 //
-// Not all engines check who gives them an order, so the agent does. An order
-// carries a fence, the term and the index of the log entry that made it. A
-// Gate passes an order only if its fence is not lower than any it has seen,
-// and after a restart it passes none until control has told it the fence.
+// Not all engines check who sends them an order, so the agent does. An order carries a
+// fence: the term of the leader and a sequence number. A Gate allows an order only if its
+// fence is higher than any that it has seen; after a restart it allows none until control
+// has sent the current fence.
 package order
 
 import (
@@ -17,18 +17,19 @@
 	Seq  uint64 `cbor:"2,keyasint"`
 }
 
-// Less tells whether f is older than g.
+// Less reports whether f is older than g.
 func (f Fence) Less(g Fence) bool {
 	return f.Term < g.Term || f.Term == g.Term && f.Seq < g.Seq
 }
 
-// Order is one command for the engine beside one agent.
+// Order is a command for the engine of one agent.
 type Order struct {
 	ID     string       `cbor:"1,keyasint"`
 	Server string       `cbor:"2,keyasint"`
 	Fence  Fence        `cbor:"3,keyasint"`
 	Do     engine.Order `cbor:"4,keyasint"`
-	// Floor tells the fence without a command; it opens a new gate.
+	// Floor marks an order that carries only the fence and no command; it opens a new
+	// gate.
 	Floor bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -36,19 +37,19 @@
 type Result struct {
 	ID string `cbor:"1,keyasint"`
 	OK bool   `cbor:"2,keyasint"`
-	// Detail is why it was not carried out.
+	// Detail is the reason why the order was not carried out.
 	Detail string `cbor:"3,keyasint,omitempty"`
 	Fence  Fence  `cbor:"4,keyasint"`
 }
 
-// Gate decides which orders pass.
+// Gate decides which orders are allowed. The zero value allows none.
 type Gate struct {
 	highest Fence
 	open    bool
 }
 
-// SetFloor raises the fence to f and opens the gate. It must come from a leader
-// that holds a live majority lease; a lower fence changes nothing.
+// SetFloor raises the fence to f and opens the gate. It must come from a leader that
+// holds a live majority lease; a lower fence changes nothing.
 func (g *Gate) SetFloor(f Fence) {
 	if !f.Less(g.highest) {
 		g.highest = f
@@ -56,7 +57,8 @@
 	}
 }
 
-// Allow tells whether an order with fence f may be carried out.
+// Allow reports whether an order with fence f may be carried out. An allowed order raises
+// the fence.
 func (g *Gate) Allow(f Fence) bool {
 	if !g.open || f.Less(g.highest) || f == g.highest {
 		return false
--- a/order/plan.go
+++ b/order/plan.go
@@ -10,28 +10,28 @@
 	"github.com/ledgepin/ledgepin/engine"
 )
 
-// Server is what the planner knows of one server.
+// Server is the planner's view of one server.
 type Server struct {
 	Name, Site, Pool string
-	// Role is that of its pool, HasRole what its engine serves as; empty if the
-	// engine knows no roles.
+	// Role is the role of its pool, HasRole the present role of its engine; empty if the
+	// engine has no roles.
 	Role, HasRole string
-	// Want are the models that the settings give to it; Has are the assets that
-	// it has loaded, as engine.Asset names them.
+	// Want holds the models that the settings assign to it, Has the assets that it has
+	// loaded, named as by engine.Asset.
 	Want, Has []string
-	// Reachable tells that its agent is in reach, Leaving that it takes no new work.
+	// Reachable reports that its agent is connected, Leaving that it accepts no new work.
 	Reachable, Leaving bool
 }
 
-// Model is what the planner needs to know of a model.
+// Model is the planner's view of one model.
 type Model struct {
 	Version  string
 	Adapters []string
-	// WeightBytes is its size in bytes.
+	// WeightBytes is the size of its weights.
 	WeightBytes int64
 }
 
-// version returns the version of a model that the server has; empty if none.
+// version returns the version of a model that the server has loaded; empty if none.
 func (s *Server) version(model string) string {
 	for _, a := range s.Has {
 		name, rest, _ := strings.Cut(a, "@")
@@ -42,13 +42,13 @@
 	return ""
 }
 
-// StoreRates are the rates of the weight store by site, in bytes a second.
+// StoreRates holds the rates of the weight store by site, in bytes per second.
 type StoreRates map[string]int64
 
-// Planner decides which orders to give so that each server gets the models of
-// the settings. The loads of a site share the rate of the weight store, and a
-// model is unloaded from a server only while another one of the pool has it.
-// The zero value is ready; a new leader starts with a new one.
+// Planner decides which orders to send so that each server gets the models of the
+// settings. Only one server of a site loads at a time, because loads share the rate of
+// the weight store. A model is unloaded from a server only while another one of the pool
+// has it. The zero value is ready to use; each new leader starts with one.
 type Planner struct {
 	seq     uint64
 	pending map[string]pending // by server
@@ -56,23 +56,24 @@
 
 type pending struct {
 	id      string
-	site    string // whose rate of the weight store it takes; empty if none
+	site    string // site whose weight store it loads from; empty if none
 	expires time.Time
-	// stateBefore is what the server had: the order is over once that changes.
+	// stateBefore is the state of the server when the order was sent. The order is
+	// complete once the state differs.
 	stateBefore string
 }
 
-// maxReportDelay is how long the report of a server may lag behind what it did.
+// maxReportDelay is how long the report of a server may lag behind its state.
 const maxReportDelay = 15 * time.Second
 
-// currentState describes what a server has.
+// currentState describes the role and assets of a server.
 func (s *Server) currentState() string { return s.HasRole + " " + strings.Join(s.Has, " ") }
 
-// minLoadTime is the least time that a load is thought to take.
+// minLoadTime is the minimum expected duration of a load.
 const minLoadTime = time.Second
 
-// Plan returns the orders to give now. Term is the term of the leader, which
-// must hold a live lease.
+// Plan returns the orders to send now. term is the term of the leader, which must hold a
+// live lease.
 func (p *Planner) Plan(now time.Time, term uint64, servers []Server, models map[string]Model, lim StoreRates) []Order {
 	if p.pending == nil {
 		p.pending = map[string]pending{}
@@ -107,7 +108,7 @@
 	}
 }
 
-// loading tells whether the weight store's rate at a site is taken.
+// loading reports whether a load at a site uses the rate of the weight store.
 func (p *Planner) loading(site string) bool {
 	for _, w := range p.pending {
 		if w.site == site {
@@ -117,9 +118,9 @@
 	return false
 }
 
-// next chooses what one server should do: take its role, load what it lacks or
-// has in another version, load adapters, and then unload what it should not
-// have.
+// next chooses the next command for one server: change its role, load models that are
+// missing or have another version, load adapters, and then unload models that it should
+// not have.
 func (p *Planner) next(s Server, all []Server, models map[string]Model) (engine.Order, bool) {
 	if s.HasRole != "" && s.HasRole != s.Role && roleRedundant(s, all) {
 		return engine.Order{Action: engine.ActionRole, Role: s.Role}, true
@@ -138,9 +139,9 @@
 	return engine.Order{}, false
 }
 
-// nextForModel brings one wanted model up to date. Loading another version may
-// take the present one away, so another server has to have the model, unless
-// there is no other one.
+// nextForModel brings one wanted model up to date. Loading another version may replace
+// the present one, so another server must have the model, unless the pool has no other
+// server.
 func nextForModel(s Server, all []Server, name string, m Model) (engine.Order, bool) {
 	has := s.version(name)
 	if has == "" || has != m.Version && (modelRedundant(name, s, all) || onlyInPool(s, all)) {
@@ -154,7 +155,7 @@
 	return engine.Order{}, false
 }
 
-// anyPoolPeer calls f for the other servers of the pool until it returns true.
+// anyPoolPeer reports whether f returns true for another server of the pool.
 func anyPoolPeer(s Server, all []Server, f func(Server) bool) bool {
 	for _, o := range all {
 		if o.Pool == s.Pool && o.Site == s.Site && o.Name != s.Name && f(o) {
@@ -164,21 +165,21 @@
 	return false
 }
 
-// onlyInPool tells whether the pool has no other server.
+// onlyInPool reports whether the pool has no other server.
 func onlyInPool(s Server, all []Server) bool {
 	return !anyPoolPeer(s, all, func(Server) bool { return true })
 }
 
-// modelRedundant tells whether a server may lose a model: another one of the pool that
-// is up has it, or no other one wants it.
+// modelRedundant reports whether a server may lose a model: another reachable server of
+// the pool has it, or no server of the pool wants it.
 func modelRedundant(model string, s Server, all []Server) bool {
 	held := anyPoolPeer(s, all, func(o Server) bool { return o.Reachable && !o.Leaving && o.version(model) != "" })
 	wanted := slices.Contains(s.Want, model) || anyPoolPeer(s, all, func(o Server) bool { return slices.Contains(o.Want, model) })
 	return held || !wanted
 }
 
-// roleRedundant tells whether a server may leave its present role: no server of
-// the site should have it, or another one that is up has.
+// roleRedundant reports whether a server may leave its present role: no other server of
+// the site should have it, or another reachable one has it.
 func roleRedundant(s Server, all []Server) bool {
 	wanted, held := false, false
 	for _, o := range all {
@@ -199,15 +200,15 @@
 	}
 	site := s.Site
 	if do.Action != engine.ActionLoad {
-		site = "" // takes nothing of the store's rate
+		site = "" // does not load from the weight store
 	}
 	o := Order{ID: fmt.Sprintf("%s/%s/%s%s%s", do.Action, s.Name, do.Model, do.Adapter, do.Role), Server: s.Name, Fence: Fence{Term: term, Seq: p.seq}, Do: do}
 	p.pending[s.Name] = pending{id: o.ID, site: site, expires: now.Add(2*loadTime + maxReportDelay), stateBefore: s.currentState()}
 	return o
 }
 
-// Complete takes the result of an order. One that failed may be given again; one
-// that went well is over when the server's report shows it.
+// Complete records the result of an order. A failed order may be sent again; one that
+// succeeded is complete when the server's report shows its effect.
 func (p *Planner) Complete(r Result) {
 	for name, w := range p.pending {
 		switch {
