--- a/eventstream/bench_test.go
+++ b/eventstream/bench_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// oneEvent is an event as engines send them.
+// oneEvent is an event as engines send it.
 var oneEvent = []byte("id: 4711\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\" event\"}}]}\n\n")
 
-// TestNoAllocation reads and judges events that come one in a piece, and events
-// cut in two.
+// TestNoAllocation checks that reading and checking events allocates no memory, both for
+// events in one piece and for events split in two.
 func TestNoAllocation(t *testing.T) {
 	var r Reader
 	var s Sequence
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkByteByByte reads one block of 1 KiB and one of 64 KiB in pieces of one
-// byte; the time for each byte is to be the same.
+// BenchmarkByteByByte reads a block of 1 KiB and one of 64 KiB in pieces of one byte; the
+// time per byte must not depend on the size.
 func BenchmarkByteByByte(b *testing.B) {
 	for name, size := range map[string]int{"1KiB": 1 << 10, "64KiB": 64 << 10} {
 		b.Run(name, func(b *testing.B) {
--- a/eventstream/block.go
+++ b/eventstream/block.go
@@ -1,31 +1,32 @@
 package eventstream
 
-// Kind tells what a block is.
+// Kind is the kind of a block.
 type Kind uint8
 
 const (
-	// None: no block is whole yet. Only Reader.Next gives it, for an empty Block.
+	// None means that no block is complete yet. Only Reader.Next returns it, with an
+	// empty Block.
 	None Kind = iota
-	// Event: a block with data, which a caller takes as an event. One `data` line
-	// is enough, also an empty one.
+	// Event is a block with data, which callers interpret as an event. One `data` line is
+	// enough, even an empty one.
 	Event
-	// NoData: a block without data: comments, a blank line by itself, `retry`, or
-	// an ID alone. It is no event, but its ID counts.
+	// NoData is a block without data: comments, a single blank line, `retry`, or only an
+	// ID. It is not an event, but its ID counts.
 	NoData
-	// LineEnd: the LF of a CR LF whose CR ended the block before, which was
-	// passed on without waiting. It is no blank line and stands alone in Raw. After
-	// a block that was kept from the caller it does no harm: to the caller it is an
-	// empty block.
+	// LineEnd is the LF of a CR LF whose CR ended the previous block, which was returned
+	// without waiting for the LF. It is not a blank line, and Raw holds nothing else.
+	// After a block that was not forwarded it is harmless: the caller sees an empty
+	// block.
 	LineEnd
-	// BOM: the byte order mark before a stream. A stream that goes on in an answer
-	// that has started must not bring its own: there it is text, and spoils the name
-	// of the field after it.
+	// BOM is the byte order mark before a stream. A stream that continues an answer that
+	// has begun must not send its own: there it is text, and corrupts the name of the
+	// field after it.
 	BOM
 )
 
 var kindNames = [...]string{None: "none", Event: "event", NoData: "quiet", LineEnd: "line end", BOM: "mark"}
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -33,15 +34,14 @@
 	return "unknown"
 }
 
-// Block is a part of a stream that can be passed on by itself. Raw and ID are
-// valid until the next call of the Reader and as long as the piece is unchanged.
+// Block is a section of a stream that can be forwarded by itself. Raw and ID are valid
+// until the next call of the Reader, as long as the piece is not modified.
 type Block struct {
 	Kind Kind
-	// Raw has the bytes as they came, with the line ends.
+	// Raw holds the bytes as received, including line ends.
 	Raw []byte
-	// HasID tells that the block has an `id` field that counts (one with a NUL
-	// does not), and ID is the value of the last one. An empty ID takes the
-	// caller's last ID away.
+	// HasID reports whether the block has a valid `id` field (one with a NUL is not), and
+	// ID is the value of the last one. An empty ID resets the caller's last ID.
 	HasID bool
 	ID    []byte
 }
--- a/eventstream/doc.go
+++ b/eventstream/doc.go
@@ -1,10 +1,10 @@
-// Package eventstream reads event streams (text/event-stream) and tells whether
-// an event may be passed on to the caller that waits for it.
+// Package eventstream reads event streams (text/event-stream) and decides whether an
+// event may be forwarded to the waiting caller.
 //
-// Both parts are plain state, without clock, goroutine or socket. A Reader takes
-// one engine's bytes as they come and gives whole blocks back, byte for byte. A
-// Sequence takes the blocks of one caller's answer, whichever engines make them,
-// and gives a Verdict on each: the caller gets no event twice and none too few.
+// Both parts are plain state, without clock, goroutine or socket. A Reader takes the
+// bytes of one engine as they arrive and returns complete blocks, byte for byte. A
+// Sequencer takes the blocks of one caller's answer, whichever engines generate them, and
+// returns a Verdict on each: the caller receives no event twice and misses none.
 //
 //	for len(piece) > 0 {
 //		block, rest, err := reader.Next(piece)
@@ -13,19 +13,19 @@
 //		}
 //		piece = rest
 //		if block.Kind == eventstream.None {
-//			break // no block is whole yet
+//			break // no block is complete yet
 //		}
-//		switch verdict := sequence.Take(block); {
+//		switch verdict := sequence.Check(block); {
 //		case verdict.Passes():
 //			// write block.Raw
-//		case verdict.Kind == eventstream.Missing:
-//			// take the stream up again after sequence.Last(), or cut it
+//		case verdict.Decision == eventstream.Missing:
+//			// resume the stream after sequence.Last(), or end it
 //		}
 //	}
 //
-// Source: HTML's standard, "Server-sent events", sections "Parsing an event
-// stream" and "Interpreting an event stream"
-// (https://html.spec.whatwg.org/multipage/server-sent-events.html). Unlike a
-// browser the Reader does not decode: text that is no UTF-8 passes as it is, and
-// IDs are compared as bytes.
+// Source: the HTML standard, "Server-sent events", sections "Parsing an event stream" and
+// "Interpreting an event stream"
+// (https://html.spec.whatwg.org/multipage/server-sent-events.html). Unlike a browser, the
+// Reader does not decode: text that is not valid UTF-8 is forwarded unchanged, and IDs
+// are compared as bytes.
 package eventstream
--- a/eventstream/field.go
+++ b/eventstream/field.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// interpret reads the fields of a whole block.
+// interpret reads the fields of a complete block.
 func interpret(raw []byte) Block {
 	block := Block{Kind: NoData, Raw: raw}
 	for at := 0; at < len(raw); {
@@ -13,8 +13,8 @@
 	return block
 }
 
-// field notes what a line says. The LF of a CR LF makes an empty line, which says
-// nothing.
+// field records the field of one line. The LF of a CR LF yields an empty line, which has
+// no field.
 func (b *Block) field(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	switch string(name) {
--- a/eventstream/number.go
+++ b/eventstream/number.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// MaxNumber is the highest number that an ID counts as. One more fits, so that
-// the number due next always does.
+// MaxNumber is the highest number that is accepted in an ID. The number after it still
+// fits into a uint64, so the next expected number never overflows.
 const MaxNumber = math.MaxInt64
 
-// number reads an ID as a whole number: one or more ASCII digits and nothing
-// else, leading zeros allowed, at most MaxNumber.
+// number parses an ID as a decimal number: one or more ASCII digits and nothing else,
+// leading zeros allowed, at most MaxNumber.
 func number[T []byte | string](id T) (n uint64, ok bool) {
 	for i := range len(id) {
 		digit := uint64(id[i] - '0')
--- a/eventstream/number_test.go
+++ b/eventstream/number_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNumber tells which IDs are numbers.
+// TestNumber checks which IDs are numbers.
 func TestNumber(t *testing.T) {
 	for _, c := range []struct {
 		id   string
--- a/eventstream/opaque_ids.go
+++ b/eventstream/opaque_ids.go
@@ -2,40 +2,40 @@
 
 import "bytes"
 
-// Sequencer decides on the events of one caller's answer, over all engines and tries that
-// serve it.
+// Sequencer decides on the events of one caller's answer, across all engines and attempts
+// that serve it.
 type Sequencer interface {
-	// Resume sets the ID of the last event that the caller says it has.
+	// Resume sets the ID of the last event that the caller reports to have.
 	Resume(last string)
-	// SwitchRun tells that another run serves from here, asked for what inOrder Last.
+	// SwitchRun starts another run, which was asked for the events after Last.
 	SwitchRun()
-	// Check judges the next block of the run that serves.
+	// Check returns the verdict on the next block of the present run.
 	Check(b Block) Verdict
-	// Last returns the ID to ask the next engine with.
+	// Last returns the ID to send to the next engine.
 	Last() string
-	// Resumable tells whether the stream can go on after Last at another run.
+	// Resumable reports whether another run can continue the stream after Last.
 	Resumable() bool
 }
 
-// OpaqueIDs is the Order of events whose IDs are no more than names: none can be missed, and
-// only the one that an engine begins with, though it was asked for what inOrder it, is known
-// to come again. The zero value knows nothing.
+// OpaqueIDs is the Sequencer of events whose IDs have no order. It can't detect missing
+// events, and detects a duplicate only if a run begins with the last event although it
+// was asked for those after it. The zero value is ready for a new answer.
 type OpaqueIDs struct {
 	last []byte
-	// atRunStart tells that the run has passed no event yet, lastWithoutID that the last event
-	// passed had no ID.
+	// atRunStart reports that the run has passed no event yet, lastWithoutID that the
+	// last event passed had no ID.
 	atRunStart, lastWithoutID bool
 }
 
-// Resume implements Order.
+// Resume implements Sequencer.
 func (o *OpaqueIDs) Resume(last string) {
 	*o = OpaqueIDs{last: append(o.last[:0], last...), atRunStart: true}
 }
 
-// SwitchRun implements Order.
+// SwitchRun implements Sequencer.
 func (o *OpaqueIDs) SwitchRun() { o.atRunStart = true }
 
-// Check implements Order.
+// Check implements Sequencer.
 func (o *OpaqueIDs) Check(b Block) Verdict {
 	v := Verdict{Decision: Pass, Received: b.ID}
 	if b.Kind != Event {
@@ -53,8 +53,8 @@
 	return v
 }
 
-// Last implements Order.
+// Last implements Sequencer.
 func (o *OpaqueIDs) Last() string { return string(o.last) }
 
-// Resumable implements Order.
+// Resumable implements Sequencer.
 func (o *OpaqueIDs) Resumable() bool { return !o.lastWithoutID }
--- a/eventstream/pieces_test.go
+++ b/eventstream/pieces_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// checkPieces compares what a Reader finds in the pieces with the reference.
+// checkPieces compares the blocks that a Reader finds in the pieces with the reference.
 func checkPieces(t checker, pieces []string) {
 	t.Helper()
 	want, wantRest := reference(strings.Join(pieces, ""))
@@ -43,7 +43,7 @@
 	assert.Equal(t, string(r.Incomplete()), wantRest)
 }
 
-// TestBlocksDoNotDependOnPieces cuts streams anywhere.
+// TestBlocksDoNotDependOnPieces splits streams at arbitrary positions.
 func TestBlocksDoNotDependOnPieces(t *testing.T) {
 	long := x126 + "x"
 	line := rapid.OneOf(
@@ -73,8 +73,8 @@
 	})
 }
 
-// FuzzReader compares the Reader with the reference. cuts has the length of each
-// piece, less one, over and over; if it is empty all comes in one.
+// FuzzReader compares the Reader with the reference. cuts holds the length of each piece
+// minus one, repeated; if it is empty, the stream comes in one piece.
 func FuzzReader(f *testing.F) {
 	for _, stream := range []string{
 		"id: 1\ndata: id: 1\n\n", "id: 1\rdata: x\r\rid: 2\r\ndata: y\r\n\r\nid: 3\ndata: z\n\n", "data\n\r\n\r\r\n\n",
--- a/eventstream/reader.go
+++ b/eventstream/reader.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// MaxBlockBytes is the most bytes that a block may have, and what a Reader holds at
-// most. An event of some tokens has a few hundred bytes; the bound only keeps a
-// stream that never ends an event from taking a process's memory. It is a quarter
-// of the longest plain answer that a gateway holds.
+// MaxBlockBytes is the maximum size of a block, and of the data that a Reader buffers. An
+// event of some tokens has a few hundred bytes; the limit only keeps a stream without
+// block ends from exhausting memory. It is a quarter of the longest plain answer that a
+// gateway buffers.
 const MaxBlockBytes = 4 << 20
 
-// TooLongError tells that a block had more than Limit bytes and no end. Nothing of
-// it was given back. The stream can't be read on.
+// TooLongError reports that a block exceeded Limit bytes without an end. No part of it
+// was returned, and the stream can't be read further.
 type TooLongError struct {
 	// Limit is in bytes.
 	Limit int
@@ -17,28 +17,29 @@
 
 // Error implements error.
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("eventstream: a block of more than %d bytes", e.Limit)
+	return fmt.Sprintf("eventstream: block exceeds %d bytes", e.Limit)
 }
 
-// Reader splits the bytes of one stream into blocks. The zero value is ready for
-// the begin of a stream. Not for use by several goroutines at once.
+// Reader splits the bytes of one stream into blocks. The zero value is ready for the
+// start of a stream. It is not safe for concurrent use.
 type Reader struct {
-	// held has the begin of a block that is not whole yet.
+	// partial holds the start of a block that is not complete yet.
 	partial []byte
-	// given tells that held was given back and is to be emptied.
+	// returned reports that partial was returned as a block and must be cleared.
 	returned bool
 	splitter splitter
 	err      error
 }
 
-// Reset makes the Reader ready for the begin of another stream. A rest is dropped.
+// Reset prepares the Reader for the start of another stream and drops an incomplete
+// block.
 func (r *Reader) Reset() {
 	*r = Reader{partial: r.partial[:0]}
 }
 
-// Incomplete returns the begin of a block that is not whole yet. A stream that ends here
-// never made it an event; a caller that got it would take what inOrder for a
-// part of it. It is valid until the next call.
+// Incomplete returns the start of a block that is not complete yet. It must not be
+// forwarded: a stream that ends here never completed the event, and the caller would take
+// what follows for a part of it. The result is valid until the next call.
 func (r *Reader) Incomplete() []byte {
 	if r.returned {
 		return nil
@@ -46,13 +47,13 @@
 	return r.partial
 }
 
-// MemoryBytes returns the bytes of memory that the Reader has.
+// MemoryBytes returns the size of the Reader's buffer in bytes.
 func (r *Reader) MemoryBytes() int { return cap(r.partial) }
 
-// Next takes bytes of the piece up to the end of the first block, and returns that
-// block and the bytes not yet taken. If no block ends in the piece, all of it is
-// taken and the block is of kind None. A block that lies whole in the piece is not
-// copied. After an error all further calls return the same.
+// Next reads the piece up to the end of the first block, and returns that block and the
+// bytes not yet read. If no block ends in the piece, all of it is read and the block is
+// of kind None. A block that lies completely in the piece is not copied. After an error,
+// all further calls return the same error.
 func (r *Reader) Next(piece []byte) (block Block, rest []byte, err error) {
 	if r.err != nil {
 		return Block{}, piece, r.err
@@ -74,7 +75,8 @@
 	return r.finish(piece[:n], kind), piece[n:], nil
 }
 
-// take makes the block that ends with these bytes, or holds them.
+// finish returns the block that ends with the piece, or buffers the piece if kind is
+// None.
 func (r *Reader) finish(piece []byte, kind Kind) Block {
 	raw := piece
 	if len(r.partial) > 0 || kind == None {
--- a/eventstream/reference_test.go
+++ b/eventstream/reference_test.go
@@ -8,13 +8,14 @@
 // expected is a block as the reference finds it.
 type expected struct {
 	found
-	// ready is after how many bytes of the stream it can be passed on.
+	// ready is the number of bytes of the stream after which the block can be forwarded.
 	ready int
 }
 
 var wholeLine = regexp.MustCompile(`(?s)^([^\r\n]*)(\r\n|\r|\n)`)
 
-// reference reads a whole stream the slow way, by the letter of the standard.
+// reference splits a complete stream without optimisations, following the text of the
+// standard.
 func reference(stream string) (blocks []expected, rest string) {
 	at := 0
 	if strings.HasPrefix(stream, bom) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// referenceFields keeps the standard's buffers for one block.
+// referenceFields keeps the buffers that the standard describes, for one block.
 func referenceFields(lines []string) found {
 	b := found{Kind: NoData}
 	data := ""
--- a/eventstream/sequence.go
+++ b/eventstream/sequence.go
@@ -2,87 +2,86 @@
 
 import "bytes"
 
-// Sequence decides on the events of one caller's answer, over all engines and
-// tries that serve it. The zero value knows nothing. Not to be copied after its
-// first use, nor for use by several goroutines at once.
+// Sequence is the Sequencer of events with numbers as IDs. The zero value is ready for a
+// new answer. It must not be copied after its first use, and is not safe for concurrent
+// use.
 //
-// Events with numbers: the first may have any number if nothing is known, so that
-// what is missing before it can't be seen; each further one has to have the next
-// number.
+// Numbered events: if nothing is known, the first may have any number, so that missing
+// events before it can't be detected; each further one must have the next number.
 //
-// Events without one (no ID, an empty one, or one that is no whole number up to
-// MaxNumber) are part of the stream and pass, also amid numbered ones, where they
-// belong after the number before: after a number that the caller has already got
-// they are Repeated, after one that was Missing they are Missing. Where it can't be
-// told (the last number came again, and such events had been passed after it)
-// they are Missing too: an event twice and one too few are both worse than a cut.
-// A run that begins with them is believed: nothing can be compared until its first
-// number.
+// Unnumbered events (without ID, with an empty ID, or with one that is not a whole number
+// up to MaxNumber) belong to the stream and pass, also between numbered ones, where they
+// belong after the preceding number. After a number that the caller already has, they are
+// Repeated; after one that was Missing, they are Missing. If that can't be decided (the
+// last number came again, and unnumbered events had been passed after it), they are
+// Missing too: a duplicate event and a lost event are both worse than the end of the
+// stream. If a run begins with unnumbered events, they pass: nothing can be compared
+// until its first number.
 //
-// Blocks without data pass. One whose ID is a number moves the caller's last ID,
-// though, so that it is judged too: it may repeat the last number or be the next
-// one, which may then come again with data. It never changes Last. A byte order mark
-// passes only before all else of an answer.
+// Blocks without data pass. If the ID of one is a number, it changes the caller's last
+// ID, so it is checked as well: it may repeat the last number or be the next one, which
+// may then come again with data. It never changes Last. A byte order mark passes only
+// before all other blocks of an answer.
 type Sequence struct {
-	// last is the ID of the last event that the caller has; its bytes are kept for
-	// the next one. known tells that an event had a number, number is the last
-	// one, and quiet the last one after it that came without data.
+	// last is the ID of the last event that the caller has; its buffer is reused. known
+	// reports that an event had a number. number is the last one, and noDataNumber the
+	// last number after it that came without data.
 	last                 []byte
 	known                bool
 	number, noDataNumber uint64
-	// extra tells that events without a number were passed after number, and
+	// unnumberedSince reports that unnumbered events were passed after number,
 	// lastWithoutID that the last event passed had no ID.
 	unnumberedSince, lastWithoutID bool
-	// started tells that the answer has a block, atRunStart that the run has passed no event
-	// yet.
+	// started reports that a block of the answer was passed, atRunStart that the run has
+	// passed no event yet.
 	started, atRunStart bool
 	position            position
 }
 
-// position is where in the stream the run is that serves now.
+// position is where the present run is in the stream.
 type position uint8
 
 const (
-	// inOrder: what comes inOrder what the caller has.
+	// inOrder: the next block follows what the caller has.
 	inOrder position = iota
-	// duplicate: the last number that came was one that the caller has.
+	// duplicate: the caller already has the last number received.
 	duplicate
-	// gap: numbers before the one that came last are missing.
+	// gap: numbers before the last one received are missing.
 	gap
-	// ambiguous: the last number came again, and whether what inOrder it without a
-	// number is what the caller has can't be told.
+	// ambiguous: the last number came again, and it can't be decided whether the caller
+	// has the unnumbered events after it.
 	ambiguous
 )
 
-// Resume sets the ID of the last event that the caller says it has, as of
-// `Last-Event-ID`; an empty one means that it has none. All else is forgotten: a
-// new answer begins.
+// Resume sets the ID of the last event that the caller reports to have, as in
+// `Last-Event-ID`; an empty ID means that it has none. It resets all other state, for a
+// new answer.
 func (s *Sequence) Resume(last string) {
 	*s = Sequence{last: append(s.last[:0], last...), atRunStart: true}
 	s.number, s.known = number(last)
 	s.noDataNumber = s.number
 }
 
-// SwitchRun tells that another run serves from here, asked for what inOrder Last.
+// SwitchRun starts another run, which was asked for the events after Last.
 func (s *Sequence) SwitchRun() {
 	s.noDataNumber, s.position, s.atRunStart = s.number, inOrder, true
 }
 
-// Last returns the ID to ask the next engine with, as it came; empty if the caller
-// has none.
+// Last returns the ID to send to the next engine, as received; empty if the caller has
+// none.
 func (s *Sequence) Last() string {
 	return string(s.last)
 }
 
-// Resumable tells whether the stream can go on after Last at another run without
-// an event coming twice: not if the last event passed had no ID, since it would
+// Resumable reports whether another run can continue the stream after Last without a
+// duplicate event. It can't if the last event passed had no ID, since that event would
 // come again.
 func (s *Sequence) Resumable() bool {
 	return !s.lastWithoutID
 }
 
-// Check judges the next block of the run that serves. A block that passes counts as
-// passed on.
+// Check returns the verdict on the next block of the present run. A block that passes is
+// assumed to be forwarded.
 func (s *Sequence) Check(b Block) Verdict {
 	v := Verdict{Received: b.ID}
 	if s.known {
@@ -105,7 +104,7 @@
 	return v
 }
 
-// event judges an event with a number.
+// event checks an event with a number.
 func (s *Sequence) event(n uint64, id []byte) Decision {
 	if d := s.locate(n); d != Pass {
 		return d
@@ -117,7 +116,7 @@
 	return Pass
 }
 
-// noData judges a block that has a number and no data.
+// noData checks a block that has a number and no data.
 func (s *Sequence) noData(n uint64) Decision {
 	d := s.locate(n)
 	if d == Pass && s.known {
@@ -126,8 +125,8 @@
 	return d
 }
 
-// locate notes at which position a run is that sends a number. It may not go back
-// duplicate the last one, nor beyond the one due.
+// locate sets the position of the run after a number. The number may be neither below the
+// last one nor above the expected one.
 func (s *Sequence) locate(n uint64) Decision {
 	s.position = inOrder
 	switch {
@@ -144,7 +143,7 @@
 	return Pass
 }
 
-// unnumbered judges an event without a number.
+// unnumbered checks an event without a number.
 func (s *Sequence) unnumbered(id []byte) Decision {
 	switch s.position {
 	case duplicate:
--- a/eventstream/splitter.go
+++ b/eventstream/splitter.go
@@ -2,25 +2,26 @@
 
 import "bytes"
 
-// mark is the byte order mark in UTF-8.
+// bom is the byte order mark in UTF-8.
 const bom = "\xEF\xBB\xBF"
 
-// splitter finds where blocks end. It has seen each byte once.
+// splitter finds the ends of blocks. It reads each byte once.
 type splitter struct {
-	// started tells that the stream's first bytes are no part of a mark any more,
-	// and marked how many of them are like one.
+	// started reports that the first bytes of the stream can no longer be part of a byte
+	// order mark, and bomBytes counts those that match it.
 	started  bool
 	bomBytes int
-	// inLine tells that the line has a byte.
+	// inLine reports that the present line is not empty.
 	inLine bool
-	// cr tells that the last byte was a CR: an LF that inOrder is of its line end.
+	// cr reports that the last byte was a CR, so that an LF after it belongs to the same
+	// line end.
 	cr bool
 }
 
-// next returns how many bytes of the piece, which is not empty, go up to the end
-// of a block, and the kind: Mark, LineEnd, Quiet for a block that a blank line
-// ends, whatever is in it, or None if none ends here. The LF of a CR that ends
-// the block is not counted. held is how many bytes of the block came before.
+// next returns the number of bytes of the piece, which is not empty, up to the end of a
+// block, and its kind: BOM, LineEnd, NoData for any block that ends with a blank line, or
+// None if no block ends here. The LF after a CR that ends the block is not counted.
+// partial is the number of bytes of the block that came in earlier pieces.
 func (sp *splitter) next(piece []byte, partial int) (int, Kind) {
 	if !sp.started && sp.matchBOM(piece) {
 		return sp.endBOM(piece, partial)
@@ -51,8 +52,8 @@
 	return len(piece), None
 }
 
-// consumeLF tells whether the bytes begin with an LF that belongs to the CR before.
-// Any other byte ends the wait for it.
+// consumeLF reports whether the piece begins with an LF that belongs to the preceding CR.
+// Any other byte also ends the wait for it.
 func (sp *splitter) consumeLF(piece []byte) bool {
 	if !sp.cr || len(piece) == 0 {
 		return false
@@ -61,8 +62,8 @@
 	return piece[0] == '\n'
 }
 
-// mark compares the stream's first bytes with the mark and tells whether all of
-// them, as far as they came, are like it.
+// matchBOM compares the first bytes of the stream with the byte order mark and reports
+// whether all bytes received so far match it.
 func (sp *splitter) matchBOM(piece []byte) bool {
 	for i := 0; i < len(piece) && sp.bomBytes < len(bom); i++ {
 		if piece[i] != bom[sp.bomBytes] {
@@ -75,7 +76,7 @@
 	return true
 }
 
-// endBOM is next for bytes that are like the mark.
+// endBOM does what next does for bytes that match the byte order mark.
 func (sp *splitter) endBOM(piece []byte, partial int) (int, Kind) {
 	if sp.bomBytes < len(bom) {
 		return len(piece), None
@@ -84,13 +85,12 @@
 	return len(bom) - partial, BOM
 }
 
-// searchWindow is how many bytes are searched at once: some are worth the call, and so
-// many only that streams whose lines all end with a CR are not searched for an LF
-// to their end at each line.
+// searchWindow is the number of bytes that are searched at once. It is large enough to be
+// worth the call, and small enough that streams whose lines all end with a CR are not
+// searched for an LF to their end at each line.
 const searchWindow = 128
 
-// lineLength returns how many bytes come before the first CR or LF, or before the
-// end.
+// lineLength returns the number of bytes before the first CR or LF, or before the end.
 func lineLength(text []byte) int {
 	for at := 0; at < len(text); at += searchWindow {
 		chunk := text[at:min(at+searchWindow, len(text))]
--- a/eventstream/verdict.go
+++ b/eventstream/verdict.go
@@ -2,25 +2,27 @@
 
 import "fmt"
 
-// Decision is what a Sequence says of a block.
+// Decision is what a Sequencer decides on a block.
 type Decision uint8
 
 const (
-	// Pass: the caller gets it. It inOrder what the caller has, or is no event.
+	// Pass means that the block is forwarded: it follows what the caller has, or is not
+	// an event.
 	Pass Decision = iota + 1
-	// Repeated: the caller has it, and must not get it again. The stream goes on.
+	// Repeated means that the caller has the event already and must not receive it again.
+	// The stream continues.
 	Repeated
-	// Missing: events before it have not come. It must not be passed on; the stream
-	// has to be taken up again after the last event, or to be cut.
+	// Missing means that events before this one were not received. It must not be
+	// forwarded; the stream must be resumed after the last event, or ended.
 	Missing
-	// Unnumbered: an event without a number, which can't be checked. The caller
-	// gets it.
+	// Unnumbered means that the event has no number and can't be checked. It is
+	// forwarded.
 	Unnumbered
 )
 
 var decisionNames = [...]string{Pass: "pass", Repeated: "repeated", Missing: "missing", Unnumbered: "unnumbered"}
 
-// String names the decision for logs.
+// String returns the name of the decision for logs.
 func (d Decision) String() string {
 	if d >= Pass && int(d) < len(decisionNames) {
 		return decisionNames[d]
@@ -28,24 +30,25 @@
 	return "unknown"
 }
 
-// Verdict is a Sequence's answer on a block.
+// Verdict is a Sequencer's decision on a block, with its reason.
 type Verdict struct {
 	Decision Decision
-	// Expected is the number that was due; 0 if any would do.
+	// Expected is the number that was expected; 0 if any number is accepted.
 	Expected uint64
-	// Received is the ID that came, empty if none did. It is a part of the block.
+	// Received is the ID that was received, empty if there was none. It refers to the
+	// bytes of the block.
 	Received []byte
 }
 
-// Passes tells whether the caller gets the block.
+// Passes reports whether the block is forwarded.
 func (v Verdict) Passes() bool {
 	return v.Decision == Pass || v.Decision == Unnumbered
 }
 
-// String tells the verdict for logs.
+// String describes the verdict for logs.
 func (v Verdict) String() string {
 	if v.Expected == 0 {
-		return fmt.Sprintf("%v: any number due, %q came", v.Decision, v.Received)
+		return fmt.Sprintf("%v: any number expected, received %q", v.Decision, v.Received)
 	}
-	return fmt.Sprintf("%v: %d due, %q came", v.Decision, v.Expected, v.Received)
+	return fmt.Sprintf("%v: expected %d, received %q", v.Decision, v.Expected, v.Received)
 }
