--- a/fault/catalogue.go
+++ b/fault/catalogue.go
@@ -2,17 +2,17 @@
 
 import "net/http"
 
-// Code is one kind of error that a caller, an operator or a peer may see.
+// Code is a kind of error that a caller, an operator or a peer may receive.
 type Code struct {
-	// ID is the stable name, sent on the wire.
+	// ID is the stable name that is sent on the wire.
 	ID string
-	// Text is the meaning.
+	// Text describes the meaning for the documentation.
 	Text string
-	// Since is the first version that uses it.
+	// Since is the first version that uses the code.
 	Since string
-	// Status is the HTTP status that goes with it.
+	// Status is the HTTP status of responses with this code.
 	Status int
-	// NotRun tells that no engine or service was asked to do the work.
+	// NotRun reports that no engine or service was asked to do the work.
 	NotRun bool
 }
 
@@ -27,7 +27,7 @@
 // Catalogue returns all codes in the order of their definition.
 func Catalogue() []*Code { return catalogue }
 
-// ByID returns the code with this ID, or Internal if there is none.
+// ByID returns the code with an ID, or Internal if there is none.
 func ByID(id string) *Code {
 	for _, c := range catalogue {
 		if c.ID == id {
@@ -37,7 +37,7 @@
 	return Internal
 }
 
-// The codes.
+// Error codes.
 var (
 	Internal             = code("internal", http.StatusInternalServerError, false, "A fault of ledgepin itself; whether the request ran is not known.")
 	Unauthorized         = code("unauthorized", http.StatusUnauthorized, true, "The bearer token is missing or not known.")
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -10,11 +10,12 @@
 	"github.com/gravitational/trace"
 )
 
-// Step names the part of the work in which an error arose.
+// Step is the step of processing at which an error occurred.
 type Step string
 
 // The steps of the system.
 const (
+	// Steps of processing.
 	StepAuth     Step = "auth"
 	StepParse    Step = "parse"
 	StepAdmit    Step = "admit"
@@ -35,21 +36,21 @@
 
 // Error is an error with its code, step and peer.
 type Error struct {
-	// Code is the catalogue entry.
+	// Code is the entry of the catalogue.
 	Code *Code
-	// Step is where in the work it arose.
+	// Step is the step of processing at which the error occurred.
 	Step Step
-	// Peer is the process, server or person at the other end; empty if none.
+	// Peer is the process, server or person at the other end; empty if there is none.
 	Peer string
-	// Detail says what was wrong, in words for the receiver.
+	// Detail describes the error for the recipient.
 	Detail string
-	// RetryAfter tells the receiver when to come back; zero if not useful.
+	// RetryAfter is the suggested delay before a retry; zero if there is none.
 	RetryAfter time.Duration
-	// Cause is the error below, or nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
-// New returns an error of code c that arose in step at peer.
+// New returns an error of code c that occurred in step at peer.
 func New(c *Code, step Step, peer, detail string) error {
 	return trace.Wrap(&Error{Code: c, Step: step, Peer: peer, Detail: detail})
 }
@@ -62,7 +63,7 @@
 	return trace.Wrap(&Error{Code: c, Step: step, Peer: peer, Detail: cause.Error(), Cause: cause})
 }
 
-// Error returns one line: code, step, peer and detail.
+// Error returns the code, step, peer and detail in one line.
 func (e *Error) Error() string {
 	at := string(e.Step)
 	if e.Peer != "" {
@@ -71,17 +72,18 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code.ID, at, e.Detail)
 }
 
-// Unwrap returns the error below, or nil.
+// Unwrap returns the underlying error, or nil.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// LogValue gives the log the parts of the error as attributes.
+// LogValue returns the code, step, peer and detail as attributes.
 func (e *Error) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.String("code", e.Code.ID), slog.String("step", string(e.Step)),
 		slog.String("peer", e.Peer), slog.String("detail", e.Detail))
 }
 
-// From returns the Error within err. An error without one becomes Internal.
+// From returns the Error that err wraps. If there is none, it returns one with code
+// Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -90,7 +92,7 @@
 	return &Error{Code: Internal, Detail: err.Error(), Cause: err}
 }
 
-// Is tells whether err carries code c.
+// Is reports whether err has code c.
 func Is(err error, c *Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == c
