--- a/compat/doc.go
+++ b/compat/doc.go
@@ -1,7 +1,8 @@
-// Package compat tells what two builds that run side by side have in common.
+// Package compat determines which protocol version two builds have in common, and when
+// the version of a fleet may rise.
 //
-// A build speaks all versions of a range, not one version only: machines are replaced one
-// after the other, so the two ends of a link are seldom of the same build during an upgrade.
-// They speak the highest version that both know, and nothing but ranges that have none in
-// common keeps them apart.
+// A build supports a range of versions: VMs are upgraded one after the other, so during
+// an upgrade the two ends of a link usually run different builds. They use the highest
+// version that both support, and refuse each other only if their ranges have no version
+// in common.
 package compat
--- a/compat/gate.go
+++ b/compat/gate.go
@@ -5,81 +5,85 @@
 	"time"
 )
 
-// Member is a voter or learner as the leader knows it.
+// Member is the leader's view of a voter or learner.
 type Member struct {
 	ID string
-	// Told is the range that it told last; the zero range if it told none to this leader.
+	// Told is the range that the member reported last; the zero range if it has reported
+	// none to this leader.
 	Told Range
-	// Silent tells that it is out of touch: another build may run there by now.
+	// Silent reports that the member is disconnected; it may run another build by now.
 	Silent bool
 }
 
-// Cause tells what holds the fleet's version back.
+// Cause is the reason why the fleet's version does not rise.
 type Cause string
 
-// The causes. The last two hold back only the rise that comes by itself.
+// Causes. The last two prevent only the automatic rise.
 const (
-	// CauseNewest tells that the leader's own build knows no higher version.
+	// CauseNewest means that the leader's build supports no higher version.
 	CauseNewest Cause = "newest"
-	// CauseProposed tells that the next version was proposed and is not yet in force.
+	// CauseProposed means that the next version is proposed but not yet in force.
 	CauseProposed Cause = "proposed"
-	// CauseNeverReported tells that a member has told no range since this replica started.
+	// CauseNeverReported means that a member has reported no range since this replica
+	// started.
 	CauseNeverReported Cause = "never_told"
-	// CauseUnable tells that a member's range does not hold the next version.
+	// CauseUnable means that a member's range does not contain the next version.
 	CauseUnable Cause = "unable"
-	// CauseSilent tells that a member is out of touch.
+	// CauseSilent means that a member is disconnected.
 	CauseSilent Cause = "silent"
-	// CauseSettling tells that all can read the next version, but not for long enough.
+	// CauseSettling means that all members support the next version, but not for the
+	// settling time yet.
 	CauseSettling Cause = "settling"
-	// CauseOperatorOnly tells that the version rises only when an operator asks.
+	// CauseOperatorOnly means that the version rises only at an operator's request.
 	CauseOperatorOnly Cause = "asked"
 )
 
-// Blocker is one thing that holds the version back.
+// Blocker is one reason why the version does not rise.
 type Blocker struct {
 	Cause Cause `json:"cause"`
-	// Member is who does, if it is a member.
+	// Member is the member concerned, if any.
 	Member string `json:"member,omitempty"`
-	// Told is the range that the member told last.
+	// Told is the range that the member reported last.
 	Told *Range `json:"told,omitempty"`
-	// Left is the time that is left, of Settling.
+	// Left is the remaining time of CauseSettling.
 	Left time.Duration `json:"left,omitempty"`
 }
 
-// Gate decides when the fleet's version rises. It is the leader's, and starts anew with each
-// leader: what a leader before it had seen is not known to this one. It is not safe for
-// concurrent use.
+// Gate decides when the fleet's version may rise. It belongs to the leader, and each new
+// leader starts with an empty one, because it does not know what the previous leader had
+// observed. It is not safe for concurrent use.
 type Gate struct {
 	ranges map[string]Range
-	// since is the moment from which on all members have told a range that holds the next
-	// version; zero while one has not.
+	// supportedSince is the time since which all members have reported a range that
+	// contains the next version; zero while one has not.
 	supportedSince time.Time
 	next           int
 	proposed       int
 }
 
-// SupportedSince returns the moment from which on all members could read the next version; zero while
-// one can't.
+// SupportedSince returns the time since which all members support the next version; zero
+// while one does not.
 func (g *Gate) SupportedSince() time.Time { return g.supportedSince }
 
-// RangeChanged takes that a member has told another range than before, which may be over before the
-// next look: the settling time starts anew if it reads less.
+// RangeChanged records that a member has reported another range. A range that lacks a
+// version of the earlier one restarts the settling time, even if the member reports the
+// earlier range again before the next Check.
 func (g *Gate) RangeChanged(before, after Range) {
 	if narrower(before, after) {
 		g.supportedSince = time.Time{}
 	}
 }
 
-// less tells whether a range misses a part of the one before it.
+// narrower reports whether the range after lacks a version of the range before.
 func narrower(before, after Range) bool {
 	return after.Least > before.Least || after.Most < before.Most
 }
 
-// RecordProposal takes that a version has been proposed.
+// RecordProposal records that a version has been proposed.
 func (g *Gate) RecordProposal(version int) { g.proposed = version }
 
-// Check takes what the leader knows, and returns what keeps an operator from raising the
-// version by one; nothing if it may be proposed.
+// Check records the present members and returns what prevents an operator from raising
+// the version by one; nothing if the next version may be proposed.
 func (g *Gate) Check(now time.Time, version int, own Range, members []Member) []Blocker {
 	next := version + 1
 	if !own.Contains(next) {
@@ -103,8 +107,9 @@
 	return found
 }
 
-// look returns what holds the next version back, and whether all members have told that they
-// can read it. One that is silent could before, so it does not begin the settling time anew.
+// blockers returns what blocks the next version, and whether all members have reported
+// support for it. A disconnected member had reported its support before, so it does not
+// restart the settling time.
 func blockers(next int, members []Member) (found []Blocker, supported bool) {
 	supported = true
 	for _, m := range members {
@@ -122,7 +127,7 @@
 	return found, supported
 }
 
-// changed tells whether a member has joined, or reads less than before.
+// anyNarrower reports whether a member has joined or supports fewer versions than before.
 func (g *Gate) anyNarrower(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool {
 		before, ok := g.ranges[m.ID]
@@ -130,8 +135,8 @@
 	})
 }
 
-// CheckSettled returns what keeps the version from rising by itself, though an operator could raise
-// it: the settling time, or that there is none.
+// CheckSettled returns what prevents the automatic rise of the version when an operator
+// could raise it: the remaining settling time, or that there is no automatic rise.
 func (g *Gate) CheckSettled(now time.Time, settling time.Duration) []Blocker {
 	if settling <= 0 {
 		return []Blocker{{Cause: CauseOperatorOnly}}
--- a/compat/range_test.go
+++ b/compat/range_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestCommonReturnsHighestVersion compares with a search through both ranges, either way round.
+// TestCommonReturnsHighestVersion compares Common with a search through both ranges, in
+// either order of arguments.
 func TestCommonReturnsHighestVersion(t *testing.T) {
 	ends := rapid.IntRange(-2, 12)
 	rapid.Check(t, func(t *rapid.T) {
--- a/compat/version.go
+++ b/compat/version.go
@@ -1,20 +1,23 @@
 package compat
 
-// The fleet's version counts as the versions of links do: a build that speaks a version on its
-// links reads and writes what that version keeps.
+// The fleet's version follows the versions of links: a build that supports a version on
+// its links reads and writes all data that this version stores.
 const (
-	// Base is the version where nothing is written: that of builds that know no versions.
+	// Base is the version of builds that exchange no versions. With it, no version is
+	// stored.
 	Base = 3
-	// Evacuations is the version from which on evacuations of availability zones are kept.
+	// Evacuations is the first version that stores evacuations of availability zones.
 	Evacuations = 5
-	// ServerLimits is the version of links that tell of the limits of servers. It keeps nothing more.
+	// ServerLimits is the first version of links that carries the limits of servers. It
+	// stores nothing more.
 	ServerLimits = 6
-	// LeaveReports is the first version whose replicas take the report of a gateway that a server
-	// leaves; nothing of that is kept.
+	// LeaveReports is the first version whose replicas accept a gateway's report that a
+	// server is leaving. It stores nothing more.
 	LeaveReports = 7
 	// Newest is the highest version that this build reads and writes.
 	Newest = LeaveReports
-	// NewestStored is the highest version from which on anything more is kept. This build raises the
-	// fleet's version no further, so that the build before can be gone back to.
+	// NewestStored is the highest version that stores something new. This build raises
+	// the fleet's version no further, so that a downgrade to the previous build remains
+	// possible.
 	NewestStored = Evacuations
 )
