--- a/roles/roles.go
+++ b/roles/roles.go
@@ -118,18 +118,18 @@
 	var out []Change
 	maxPrefillChanges := max((len(prefill)+len(decode))/enginesPerChange, 1)
 	for len(out) < len(prefill)+len(decode) {
-		o := Change{Prefill: len(prefill), Decode: len(decode), PrefillUtilization: p.prefillUtilization, DecodeUtilization: p.decodeUtilization, WantPrefill: want}
+		c := Change{Prefill: len(prefill), Decode: len(decode), PrefillUtilization: p.prefillUtilization, DecodeUtilization: p.decodeUtilization, WantPrefill: want}
 		switch imbalance := want - float64(len(prefill)); {
 		case imbalance < -minImbalance && len(prefill) > 1:
-			o.Engine, o.Role = surplus(prefill), registry.Decode
-			prefill, decode = move(prefill, decode, o.Engine)
+			c.Engine, c.Role = surplus(prefill), registry.Decode
+			prefill, decode = move(prefill, decode, c.Engine)
 		case imbalance > minImbalance && len(out) < maxPrefillChanges && len(decode) > 1 && (p.prefillUtilization >= minPrefillUtilization || float64(len(prefill)) < p.minPrefill(len(prefill)+len(decode))):
-			o.Engine, o.Role = leastUtilized(decode, prefill), registry.Prefill
-			decode, prefill = move(decode, prefill, o.Engine)
+			c.Engine, c.Role = leastUtilized(decode, prefill), registry.Prefill
+			decode, prefill = move(decode, prefill, c.Engine)
 		default:
 			return out
 		}
-		out = append(out, o)
+		out = append(out, c)
 	}
 	return out
 }
