--- a/roles/roles.go
+++ b/roles/roles.go
@@ -41,10 +41,13 @@
 
 // Parameters of the planner.
 const (
-	// averagingTime is the time over which utilization is averaged.
+	// averagingTime and minAveragingTime bound the time over which utilization is
+	// averaged: it is the time since the engines began to be used, within these bounds.
 	averagingTime    = 15 * time.Second
 	minAveragingTime = 2 * time.Second
-	idleUtilization  = 0.05
+	// idleUtilization is the utilization of decode engines below which they count as
+	// idle.
+	idleUtilization = 0.05
 	// minUtilization is the utilization of decode engines below which the balance is not
 	// evaluated.
 	minUtilization = 0.4
