--- a/fault/fault.go
+++ b/fault/fault.go
@@ -13,9 +13,8 @@
 // Step is the step of processing at which an error occurred.
 type Step string
 
-// The steps of the system.
+// Steps of processing.
 const (
-	// Steps of processing.
 	StepAuth     Step = "auth"
 	StepParse    Step = "parse"
 	StepAdmit    Step = "admit"
