--- a/app/run.go
+++ b/app/run.go
@@ -86,9 +86,9 @@
 		return nil
 	}
 	c.Name, c.Zone, c.Log = p.file.Name, p.file.Zone, p.log
-	c.Members, c.Dir, c.Quota = part.Members, p.file.Data, quotaOf(part.Quota)
+	c.Members, c.Dir, c.QuotaBounds = part.Members, p.file.Data, quotaOf(part.Quota)
 	c.UpgradeAfter, c.Zones = part.Upgrade.Wait(), p.file.Zones
-	c.Cold = warmup.Bounds{Overshoot: part.Cold.Overshoot, Slack: part.Cold.Slack}
+	c.ColdBounds = warmup.Bounds{Overshoot: part.Cold.Overshoot, Slack: part.Cold.Slack}
 	c.ParseTable = platform.ParseTable
 	if part.Discovery != nil {
 		discovered(&c, part)
--- a/cli/upgrade.go
+++ b/cli/upgrade.go
@@ -48,7 +48,7 @@
 	if err := printUpgrade(s.out, u, c.JSON); err != nil {
 		return err
 	}
-	if len(u.Holds) > 0 && u.Holds[0].Cause != compat.CauseNewest {
+	if len(u.Blockers) > 0 && u.Blockers[0].Cause != compat.CauseNewest {
 		return errors.New("the version was not raised")
 	}
 	return nil
@@ -68,7 +68,7 @@
 	for _, m := range u.Members {
 		fmt.Fprintf(&b, "  %-24s %-8s reads %-8s build %s%s\n", m.ID, memberKind(m), told(m.Versions), orUnknown(m.Build), mark(m.Silent, ", silent"))
 	}
-	for _, h := range append(u.Holds, u.Waits...) {
+	for _, h := range append(u.Blockers, u.AutomaticBlockers...) {
 		if h.Cause != compat.CauseNewest {
 			fmt.Fprintf(&b, "version %d waits: %s\n", u.Next, holdText(h))
 		}
@@ -122,11 +122,11 @@
 	case compat.CauseNeverReported:
 		return h.Member + " has told the leader nothing yet"
 	case compat.CauseUnable:
-		return fmt.Sprintf("%s reads %s", h.Member, told(h.Told))
+		return fmt.Sprintf("%s reads %s", h.Member, told(h.Range))
 	case compat.CauseSilent:
 		return h.Member + " is out of touch"
 	case compat.CauseSettling:
-		return fmt.Sprintf("it rises by itself in %s, or with ledgepin upgrade raise", h.Left.Round(time.Second))
+		return fmt.Sprintf("it rises by itself in %s, or with ledgepin upgrade raise", h.Remaining.Round(time.Second))
 	case compat.CauseOperatorOnly:
 		return "it rises with ledgepin upgrade raise"
 	}
--- a/compat/gate.go
+++ b/compat/gate.go
@@ -8,11 +8,11 @@
 // Member is the leader's view of a voter or learner.
 type Member struct {
 	ID string
-	// Told is the range that the member reported last; the zero range if it has reported
+	// Range is the range that the member reported last; the zero range if it has reported
 	// none to this leader.
-	Told Range
-	// Silent reports that the member is disconnected; it may run another build by now.
-	Silent bool
+	Range Range
+	// Disconnected reports that the member is disconnected; it may run another build by now.
+	Disconnected bool
 }
 
 // Cause is the reason why the fleet's version does not rise.
@@ -43,10 +43,10 @@
 	Cause Cause `json:"cause"`
 	// Member is the member concerned, if any.
 	Member string `json:"member,omitempty"`
-	// Told is the range that the member reported last.
-	Told *Range `json:"told,omitempty"`
-	// Left is the remaining time of CauseSettling.
-	Left time.Duration `json:"left,omitempty"`
+	// Range is the range that the member reported last.
+	Range *Range `json:"told,omitempty"`
+	// Remaining is the remaining time of CauseSettling.
+	Remaining time.Duration `json:"left,omitempty"`
 }
 
 // Gate decides when the fleet's version may rise. It belongs to the leader, and each new
@@ -102,7 +102,7 @@
 	g.next = next
 	g.ranges = map[string]Range{}
 	for _, m := range members {
-		g.ranges[m.ID] = m.Told
+		g.ranges[m.ID] = m.Range
 	}
 	return found
 }
@@ -114,14 +114,14 @@
 	supported = true
 	for _, m := range members {
 		switch {
-		case m.Told == Range{}:
+		case m.Range == Range{}:
 			found = append(found, Blocker{Cause: CauseNeverReported, Member: m.ID})
 			supported = false
-		case !m.Told.Valid() || !m.Told.Contains(next):
-			found = append(found, Blocker{Cause: CauseUnable, Member: m.ID, Told: &m.Told})
+		case !m.Range.Valid() || !m.Range.Contains(next):
+			found = append(found, Blocker{Cause: CauseUnable, Member: m.ID, Range: &m.Range})
 			supported = false
-		case m.Silent:
-			found = append(found, Blocker{Cause: CauseSilent, Member: m.ID, Told: &m.Told})
+		case m.Disconnected:
+			found = append(found, Blocker{Cause: CauseSilent, Member: m.ID, Range: &m.Range})
 		}
 	}
 	return found, supported
@@ -131,7 +131,7 @@
 func (g *Gate) anyNarrower(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool {
 		before, ok := g.ranges[m.ID]
-		return !ok || narrower(before, m.Told)
+		return !ok || narrower(before, m.Range)
 	})
 }
 
@@ -142,7 +142,7 @@
 		return []Blocker{{Cause: CauseOperatorOnly}}
 	}
 	if remaining := settling - now.Sub(g.supportedSince); remaining > 0 {
-		return []Blocker{{Cause: CauseSettling, Left: remaining}}
+		return []Blocker{{Cause: CauseSettling, Remaining: remaining}}
 	}
 	return nil
 }
--- a/control/control.go
+++ b/control/control.go
@@ -54,10 +54,10 @@
 	Discovery *Discovery
 	// Roles configures how engines that gateways drive get their roles.
 	Roles RoleConfig
-	// Quota bounds how the usage of limits is accounted.
-	Quota quota.Bounds
-	// Cold bounds how much work cold servers get.
-	Cold warmup.Bounds
+	// QuotaBounds bounds how the usage of limits is accounted.
+	QuotaBounds quota.Bounds
+	// ColdBounds bounds how much work cold servers get.
+	ColdBounds warmup.Bounds
 	// ParseTable parses the document of an operator's table; nil if there are no such
 	// documents.
 	ParseTable func(document []byte) (*route.Table, error)
@@ -165,10 +165,10 @@
 		cfg: cfg, clock: cfg.Clock, log: cfg.Log.With("role", "control", "name", cfg.Name), epoch: clock.Day().UnixNano(),
 		ctx: ctx, cancel: cancel, state: fleet.New(), waiters: map[string][]chan fleet.Result{},
 		peerLinks: map[string]*peerLink{}, downstream: map[*wire.Link]bool{}, connected: map[string]int{}, replicaLinks: map[*wire.Link]bool{}, lastHello: map[string]wire.Hello{}, requiredVersion: compat.Base, askedToFound: map[string]bool{}, zoneSummaries: map[string]*wire.Summary{},
-		quotaBroker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.Quota), rejectionLog: event.Limiter{Every: rejectionLogEvery, Most: maxRejectionLogKeys},
+		quotaBroker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.QuotaBounds), rejectionLog: event.Limiter{Every: rejectionLogEvery, Most: maxRejectionLogKeys},
 	}
 	c.dialer.Log, c.hub.log = c.log, c.log
-	c.hub.name, c.hub.coldBounds, c.hub.parseTable = cfg.Name, cfg.Cold, cfg.ParseTable
+	c.hub.name, c.hub.coldBounds, c.hub.parseTable = cfg.Name, cfg.ColdBounds, cfg.ParseTable
 	c.hub.limits = newLimits(cfg.Clock.Now(), cfg.Name)
 	if cfg.Discovery != nil {
 		c.wg.Go(c.bootDiscovered)
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -67,8 +67,8 @@
 		if u, err = c.RaiseVersion(ctx, "operator"); err != nil {
 			return err
 		}
-		if u.Version < version && len(u.Holds) > 0 {
-			return versionBlocked(version, u.Holds[0].Member, u.Holds[0].Cause)
+		if u.Version < version && len(u.Blockers) > 0 {
+			return versionBlocked(version, u.Blockers[0].Member, u.Blockers[0].Cause)
 		}
 	}
 	return nil
--- a/control/orders.go
+++ b/control/orders.go
@@ -54,7 +54,7 @@
 		}
 		s, up := has[p.Name]
 		out = append(out, order.Server{
-			Name: p.Name, Site: p.Site, Pool: p.Pool, Role: p.Role, HasRole: s.Role, Want: p.Models, Has: s.Assets,
+			Name: p.Name, Site: p.Site, Pool: p.Pool, Role: p.Role, CurrentRole: s.Role, Want: p.Models, Has: s.Assets,
 			Reachable: up, Leaving: s.Leaving,
 		})
 	}
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -23,14 +23,14 @@
 	// Since is the time from which on all members have been able to read the next version;
 	// nil while one can't.
 	Since *time.Time `json:"since,omitempty"`
-	// After is how long they must have been able to; zero if only an operator raises the
+	// SettleTime is how long they must have been able to; zero if only an operator raises the
 	// version.
-	After time.Duration `json:"after"`
-	// Holds are the reasons that block a rise of the version, Waits the additional ones
+	SettleTime time.Duration `json:"after"`
+	// Blockers are the reasons that block a rise of the version, Waits the additional ones
 	// that block an automatic rise.
-	Holds   []compat.Blocker `json:"holds"`
-	Waits   []compat.Blocker `json:"waits,omitempty"`
-	Members []UpgradeMember  `json:"members"`
+	Blockers          []compat.Blocker `json:"holds"`
+	AutomaticBlockers []compat.Blocker `json:"waits,omitempty"`
+	Members           []UpgradeMember  `json:"members"`
 }
 
 // UpgradeMember is a voter or learner with the build that it runs.
@@ -67,22 +67,22 @@
 	if term := c.node.Term(); term != c.gateTerm {
 		c.gate, c.gateTerm = compat.Gate{}, term
 	}
-	out := UpgradeStatus{Version: c.state.Version(), After: c.cfg.UpgradeAfter, Members: c.upgradeMembers(now)}
+	out := UpgradeStatus{Version: c.state.Version(), SettleTime: c.cfg.UpgradeAfter, Members: c.upgradeMembers(now)}
 	members := make([]compat.Member, len(out.Members))
 	for i, m := range out.Members {
-		members[i] = compat.Member{ID: m.ID, Silent: m.Silent}
+		members[i] = compat.Member{ID: m.ID, Disconnected: m.Silent}
 		if m.Versions != nil {
-			members[i].Told = *m.Versions
+			members[i].Range = *m.Versions
 		}
 	}
-	out.Holds = append([]compat.Blocker{}, c.gate.Check(now, out.Version, c.proposableVersions(), members)...)
+	out.Blockers = append([]compat.Blocker{}, c.gate.Check(now, out.Version, c.proposableVersions(), members)...)
 	if c.proposableVersions().Contains(out.Version + 1) {
 		out.Next = out.Version + 1
 	}
 	if since := c.gate.SupportedSince(); out.Next != 0 && !since.IsZero() {
 		day := clock.Day().Add(since.Sub(now)).UTC()
 		out.Since = &day
-		out.Waits = c.gate.CheckSettled(now, c.settleTime())
+		out.AutomaticBlockers = c.gate.CheckSettled(now, c.settleTime())
 	}
 	return out
 }
@@ -127,7 +127,7 @@
 		return
 	}
 	u := c.upgradeStatusLocked(now)
-	if u.Next == 0 || len(u.Holds)+len(u.Waits) > 0 || u.Since == nil {
+	if u.Next == 0 || len(u.Blockers)+len(u.AutomaticBlockers) > 0 || u.Since == nil {
 		return
 	}
 	_, _ = c.proposeVersion(now, u.Next)
@@ -182,7 +182,7 @@
 		return UpgradeStatus{}, nil, c.notLeader()
 	}
 	u := c.upgradeStatusLocked(now)
-	if len(u.Holds) > 0 {
+	if len(u.Blockers) > 0 {
 		return u, nil, nil
 	}
 	w := make(chan fleet.Result, 1)
--- a/order/plan.go
+++ b/order/plan.go
@@ -13,9 +13,9 @@
 // Server is the planner's view of one server.
 type Server struct {
 	Name, Site, Pool string
-	// Role is the role of its pool, HasRole the present role of its engine; empty if the
+	// Role is the role of its pool, CurrentRole the present role of its engine; empty if the
 	// engine has no roles.
-	Role, HasRole string
+	Role, CurrentRole string
 	// Want holds the models that the settings assign to it, Has the assets that it has
 	// loaded, named as by engine.Asset.
 	Want, Has []string
@@ -67,7 +67,7 @@
 const maxReportDelay = 15 * time.Second
 
 // currentState describes the role and assets of a server.
-func (s *Server) currentState() string { return s.HasRole + " " + strings.Join(s.Has, " ") }
+func (s *Server) currentState() string { return s.CurrentRole + " " + strings.Join(s.Has, " ") }
 
 // minLoadTime is the minimum expected duration of a load.
 const minLoadTime = time.Second
@@ -122,7 +122,7 @@
 // missing or have another version, load adapters, and then unload models that it should
 // not have.
 func (p *Planner) next(s Server, all []Server, models map[string]Model) (engine.Order, bool) {
-	if s.HasRole != "" && s.HasRole != s.Role && roleRedundant(s, all) {
+	if s.CurrentRole != "" && s.CurrentRole != s.Role && roleRedundant(s, all) {
 		return engine.Order{Action: engine.ActionRole, Role: s.Role}, true
 	}
 	for _, m := range s.Want {
@@ -186,8 +186,8 @@
 		if o.Site != s.Site || o.Name == s.Name {
 			continue
 		}
-		wanted = wanted || o.Role == s.HasRole
-		held = held || o.Reachable && !o.Leaving && o.HasRole == s.HasRole
+		wanted = wanted || o.Role == s.CurrentRole
+		held = held || o.Reachable && !o.Leaving && o.CurrentRole == s.CurrentRole
 	}
 	return held || !wanted
 }
