--- a/entry/agents.go
+++ b/entry/agents.go
@@ -95,7 +95,7 @@
 	now := clock.VM.Now()
 	a.link, a.gone, a.leaving, a.reported, a.told = l, false, false, false, false
 	_ = l.Send(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.inForce()}})
-	again, effects := e.core.Rejoin(now, a.name)
+	again, effects := e.core.LinkRestored(now, a.name)
 	for _, r := range again {
 		from := 0
 		if f := e.flows[r.ID.Req]; f != nil {
@@ -205,7 +205,7 @@
 
 func (e *Entry) one(now time.Time, eff router.Effect) []router.Effect {
 	switch x := eff.(type) {
-	case router.Attempt:
+	case router.SwitchAttempt:
 		if f := e.flows[x.ID.Req]; f != nil {
 			f.asm.Attempt(x.ID.Attempt)
 		}
@@ -220,13 +220,13 @@
 		}
 	case router.StartDecode:
 		return e.startDecode(now, x)
-	case router.Free:
+	case router.Release:
 		e.toAgent(x.Server, &wire.Message{Cancel: &wire.Cancel{ID: x.ID}})
 	case router.Refuse:
 		e.refused(x)
 	case router.Fail:
 		e.failed(x)
-	case router.EjectedServer:
+	case router.ServerEjected:
 		event.ServerEjected.Log(e.log, "server", x.Server)
 	}
 	return nil
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -12,19 +12,19 @@
 
 // Dump is the state of an entry.
 type Dump struct {
-	Name     string         `json:"name"`
-	Zone     string         `json:"zone"`
-	Revision uint64         `json:"settings_revision"`
-	Since    time.Time      `json:"settings_since"`
-	Degraded bool           `json:"degraded"`
-	Draining bool           `json:"draining"`
-	Waiting  int            `json:"waiting"`
-	Open     []router.State `json:"open"`
-	Calls    int            `json:"calls"`
-	Stats    router.Stats   `json:"stats"`
-	Upstream string         `json:"upstream"`
-	Servers  []ServerDump   `json:"servers"`
-	Leaving  []string       `json:"leaving"`
+	Name     string                `json:"name"`
+	Zone     string                `json:"zone"`
+	Revision uint64                `json:"settings_revision"`
+	Since    time.Time             `json:"settings_since"`
+	Degraded bool                  `json:"degraded"`
+	Draining bool                  `json:"draining"`
+	Waiting  int                   `json:"waiting"`
+	Open     []router.RequestState `json:"open"`
+	Calls    int                   `json:"calls"`
+	Stats    router.Stats          `json:"stats"`
+	Upstream string                `json:"upstream"`
+	Servers  []ServerDump          `json:"servers"`
+	Leaving  []string              `json:"leaving"`
 }
 
 // ServerDump is what the entry knows of one server.
@@ -74,7 +74,7 @@
 	}
 	metric.Waiting.WithLabelValues(name).Set(float64(e.core.Waiting()))
 	metric.Open.WithLabelValues(name).Set(float64(len(e.flows)))
-	spent, denied := e.core.Budget()
+	spent, denied := e.core.RetryCounts()
 	metric.Retries.WithLabelValues(name, "allowed").Set(float64(spent))
 	metric.Retries.WithLabelValues(name, "denied").Set(float64(denied))
 	metric.Revision.WithLabelValues(name).Set(float64(e.inForce()))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -113,7 +113,7 @@
 	}
 	e.dialer.Log = e.log
 	e.core = router.New(placement.NewView(cfg.Zone, rng), router.Options{
-		Policy: router.DefaultPolicy(), Records: records, Name: cfg.Name,
+		Policy: router.DefaultPolicy(), MaxRecords: records, Name: cfg.Name,
 		QueueLimit: 1, StallAfter: time.Second,
 	})
 	if cfg.Keep != nil {
@@ -193,7 +193,7 @@
 }
 
 func (e *Entry) tickLoop() {
-	t := time.NewTicker(router.TickEvery)
+	t := time.NewTicker(router.TickInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -181,7 +181,7 @@
 	if c != nil {
 		e.limitOnce(f)
 	}
-	f.start = func(now time.Time) { e.perform(now, e.core.Arrive(f.arrived, req, limit)) }
+	f.start = func(now time.Time) { e.perform(now, e.core.Submit(f.arrived, req, limit)) }
 	if !e.register(f) {
 		e.start(f.arrived, f)
 	}
--- a/policybench/bench.go
+++ b/policybench/bench.go
@@ -136,7 +136,7 @@
 			b.leave(r)
 		}
 	})
-	r.entry.do(r.entry.core.Arrive(b.now, r.req, 0))
+	r.entry.do(r.entry.core.Submit(b.now, r.req, 0))
 }
 
 // leave lets a caller go away.
--- a/policybench/policy.go
+++ b/policybench/policy.go
@@ -28,7 +28,7 @@
 	case NoReservation:
 		return func() router.Policy {
 			p := router.DefaultPolicy()
-			p.ReserveFirst = false
+			p.ReserveDecodeFirst = false
 			return p
 		}, false
 	case RoundRobin:
--- a/policybench/result.go
+++ b/policybench/result.go
@@ -33,7 +33,7 @@
 	// Wasted is the share of prefill work whose result was thrown away.
 	Wasted float64
 	// Causes are the routers' own counts of wasted prefill, in tokens.
-	Causes map[router.Waste]int
+	Causes map[router.WasteCause]int
 	// Broken lists broken invariants.
 	Broken []string
 }
@@ -56,7 +56,7 @@
 	out.Goodput = share(met, len(b.list))
 	out.Bound = share(b.bound(c.Length), len(b.list))
 	out.Wasted = b.wasted()
-	out.Causes = map[router.Waste]int{}
+	out.Causes = map[router.WasteCause]int{}
 	for _, e := range b.entries {
 		for w, n := range e.core.Stats().WastedTokens {
 			out.Causes[w] += n
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -11,7 +11,7 @@
 
 // Arrive takes a new request. OpenLimit bounds the open requests of its
 // customer at this entry.
-func (c *Core) Arrive(now time.Time, req Request, openLimit int) []Effect {
+func (c *Core) Submit(now time.Time, req Request, openLimit int) []Effect {
 	r := &request{Request: req, arrived: now, deadline: now.Add(req.TTFT), pos: -1}
 	r.rec = c.records.Open(req.ID)
 	r.rec.Customer, r.rec.Class, r.rec.Model = req.Customer, req.Class, req.Model
--- a/router/core.go
+++ b/router/core.go
@@ -109,8 +109,8 @@
 	c := &Core{
 		opts: o, view: view, queues: map[string]*admission.Queue{}, reqs: map[string]*request{},
 		seekers: map[string]*request{}, budget: retry.NewBudget(o.RetryPercent), open: map[string]int{},
-		rates: map[rateKey]*drain{}, records: decision.NewRing(max(o.Records, 1)),
-		stats: Stats{WastedTokens: map[Waste]int{}},
+		rates: map[rateKey]*drain{}, records: decision.NewRing(max(o.MaxRecords, 1)),
+		stats: Stats{WastedTokens: map[WasteCause]int{}},
 	}
 	c.timers.Less = func(a, b *request) bool { return a.due.Before(b.due) }
 	c.timers.Moved = func(r *request, place int) { r.pos = place }
@@ -150,7 +150,7 @@
 func (c *Core) Explain(id string) (decision.Record, bool) { return c.records.Find(id) }
 
 // Budget returns the counts of retries allowed and denied.
-func (c *Core) Budget() (spent, denied int) { return c.budget.Counts() }
+func (c *Core) RetryCounts() (spent, denied int) { return c.budget.Counts() }
 
 // TakeRetry takes one retry out of the budget, for a plain call.
 func (c *Core) TakeRetry() bool { return c.budget.Take() }
--- a/router/failure.go
+++ b/router/failure.go
@@ -22,7 +22,7 @@
 func (c *Core) failed(now time.Time, r *request, server string, step fault.Step, detail string, blame bool) {
 	s := c.view.Server(server)
 	if blame && s != nil && c.view.Failed(now, s) {
-		c.emit(EjectedServer{Server: server})
+		c.emit(ServerEjected{Server: server})
 	}
 	c.note(now, r, decision.Step{Kind: decision.Failure, Server: server, Detail: string(step) + ": " + detail})
 	atDecode := r.d.server != nil && r.d.server.Name == server
@@ -61,7 +61,7 @@
 		r.avoid = server
 		return
 	}
-	c.waste(r, WastePrefill)
+	c.waste(r, WastePrefillFailed)
 	r.avoid = server
 	c.freePrefill(r, true)
 	c.freeDecode(r, true)
@@ -76,7 +76,7 @@
 		return
 	}
 	delete(c.seekers, r.ID)
-	c.waste(r, WasteTransfer)
+	c.waste(r, WasteTransferFailed)
 	c.freeKV(r)
 	c.freeDecode(r, true)
 	c.again(now, r, "the prefill server was lost before the transfer")
@@ -92,7 +92,7 @@
 		c.seek(now, r)
 		return
 	}
-	c.waste(r, WasteTransfer)
+	c.waste(r, WasteTransferFailed)
 	c.freeKV(r)
 	r.avoid = server
 	c.again(now, r, "the transfer failed")
@@ -104,19 +104,19 @@
 func (c *Core) renew(r *request) {
 	r.attempt++
 	r.d = half{}
-	c.emit(Attempt{ID: r.id()})
+	c.emit(SwitchAttempt{ID: r.id()})
 }
 
 // lostDecode goes on at another server with the tokens so far as prompt.
 func (c *Core) lostDecode(now time.Time, r *request, server string) {
-	c.waste(r, WasteDecode)
+	c.waste(r, WasteDecodeFailed)
 	r.avoid = server
 	c.freeDecode(r, true)
 	c.again(now, r, "the decode server failed")
 }
 
 // waste counts prefill work that was thrown away.
-func (c *Core) waste(r *request, w Waste) { c.stats.WastedTokens[w] += r.work }
+func (c *Core) waste(r *request, w WasteCause) { c.stats.WastedTokens[w] += r.work }
 
 // again puts a request that ran back into the queue, or ends it if the budget
 // or its time is used up.
@@ -192,7 +192,7 @@
 		c.dequeue(c.queue(r.Model), r)
 	}
 	if r.phase >= prefilling && r.firstAt.IsZero() {
-		c.waste(r, WasteCaller)
+		c.waste(r, WasteCallerGone)
 	}
 	if r.holdsKV() {
 		c.freeKV(r)
@@ -209,7 +209,7 @@
 func (r *request) holdsKV() bool { return r.phase == seeking || r.phase == importing }
 
 // Rejoined names an attempt that goes on over a new link to its agent.
-type Rejoined struct {
+type ResumableAttempt struct {
 	ID lease.ID
 	// Decode tells that chunks are expected, not the result of a prefill.
 	Decode bool
@@ -222,9 +222,9 @@
 
 // Rejoin takes a new link to an agent and lists the attempts to resume there.
 // Reservations whose answer may be lost are given up.
-func (c *Core) Rejoin(now time.Time, server string) ([]Rejoined, []Effect) {
+func (c *Core) LinkRestored(now time.Time, server string) ([]ResumableAttempt, []Effect) {
 	c.view.SetUp(server, true)
-	var out []Rejoined
+	var out []ResumableAttempt
 	for _, id := range sortedKeys(c.reqs) {
 		r := c.reqs[id]
 		if r == nil || !r.uses(server) {
@@ -233,9 +233,9 @@
 		atDecode := r.d.held && r.d.server.Name == server
 		switch {
 		case r.phase == decoding && atDecode, r.phase == importing && atDecode:
-			out = append(out, Rejoined{ID: r.id(), Decode: true, Keep: r.Keep})
+			out = append(out, ResumableAttempt{ID: r.id(), Decode: true, Keep: r.Keep})
 		case r.phase == prefilling && !atDecode:
-			out = append(out, Rejoined{ID: r.id(), Keep: r.Keep})
+			out = append(out, ResumableAttempt{ID: r.id(), Keep: r.Keep})
 		case r.phase == reserving || r.phase == seeking && atDecode:
 			c.failed(now, r, server, fault.StepLink, "the link broke during the reservation", false)
 		}
--- a/router/progress.go
+++ b/router/progress.go
@@ -178,14 +178,14 @@
 // expired gives up a KV cache that no decode server could take in time.
 func (c *Core) expired(now time.Time, r *request) {
 	delete(c.seekers, r.ID)
-	c.waste(r, WasteExpired)
+	c.waste(r, WasteKVExpired)
 	c.freeKV(r)
 	c.again(now, r, "the prefill expired before a decode slot was free")
 }
 
 // freeKV tells the prefill server that its result is not needed any more.
 func (c *Core) freeKV(r *request) {
-	c.emit(Free{ID: r.kvID, Server: r.p.server.Name})
+	c.emit(Release{ID: r.kvID, Server: r.p.server.Name})
 }
 
 func (c *Core) beginTransfer(now time.Time, r *request) {
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -45,7 +45,7 @@
 // to wait on.
 func (c *Core) start(now time.Time, q *admission.Queue, r *request) bool {
 	choice := c.opts.Policy.Choose(c.view, now, r.query())
-	if choice.Prefill == nil || (choice.Decode == nil && c.opts.Policy.ReserveFirst) {
+	if choice.Prefill == nil || (choice.Decode == nil && c.opts.Policy.ReserveDecodeFirst) {
 		return c.hopeless(now, q, r)
 	}
 	if c.late(now, r, choice.FirstToken) {
@@ -63,7 +63,7 @@
 
 // late tells whether a request that has not run would miss its target.
 func (c *Core) late(now time.Time, r *request, need time.Duration) bool {
-	return c.opts.Policy.Admit && !r.ran && now.Add(need).After(r.deadline)
+	return c.opts.Policy.EnforceDeadlines && !r.ran && now.Add(need).After(r.deadline)
 }
 
 // hopeless refuses a request whose target is out of reach even if a server
@@ -104,15 +104,15 @@
 	c.view.PrefillSent(r.p.server, r.Priority, r.work)
 	detail := fmt.Sprintf("prefill at %s, first token expected in %s", r.p.server.Name, choice.FirstToken.Round(time.Millisecond))
 	c.note(now, r, decision.Step{Kind: decision.Chosen, Detail: detail, Candidates: choice.Considered})
-	c.emit(Attempt{ID: r.id()})
+	c.emit(SwitchAttempt{ID: r.id()})
 	c.emit(Reserve{
 		ID: r.id(), Server: r.p.server.Name, Role: Prefill, Model: r.Model, Priority: r.Priority,
 		Tokens: r.work, Hold: choice.FirstToken + holdSpare, Keep: r.Keep,
 	})
 	r.lead = time.Time{}
-	if c.opts.Policy.ReserveFirst && choice.FirstToken < longPrefill {
+	if c.opts.Policy.ReserveDecodeFirst && choice.FirstToken < longPrefill {
 		c.holdDecode(r, choice.Decode, r.Priority, choice.FirstToken+holdSpare)
-	} else if c.opts.Policy.ReserveFirst {
+	} else if c.opts.Policy.ReserveDecodeFirst {
 		r.lead = now.Add(choice.PrefillReady - reserveLead)
 	}
 	c.setDue(r, now.Add(reserveTimeout))
@@ -146,7 +146,7 @@
 	r.p.held = false
 	c.view.PrefillGone(r.p.server, r.Priority, r.work)
 	if tell {
-		c.emit(Free{ID: r.id(), Server: r.p.server.Name})
+		c.emit(Release{ID: r.id(), Server: r.p.server.Name})
 	}
 }
 
@@ -159,6 +159,6 @@
 	r.d.held = false
 	c.view.SlotFreed(r.d.server)
 	if tell {
-		c.emit(Free{ID: r.id(), Server: r.d.server.Name})
+		c.emit(Release{ID: r.id(), Server: r.d.server.Name})
 	}
 }
--- a/router/tick.go
+++ b/router/tick.go
@@ -12,7 +12,7 @@
 )
 
 // TickEvery is how often the shell should call Tick.
-const TickEvery = 5 * time.Millisecond
+const TickInterval = 5 * time.Millisecond
 
 // shedEvery is how often the queues are looked through for requests that
 // can't meet their target.
@@ -101,7 +101,7 @@
 // even an idle server is too slow now, and, where a queue is served too slowly
 // for all, the largest.
 func (c *Core) shed(now time.Time) {
-	if !c.opts.Policy.Admit {
+	if !c.opts.Policy.EnforceDeadlines {
 		return
 	}
 	for _, model := range sortedKeys(c.queues) {
@@ -140,7 +140,7 @@
 }
 
 // State is one row of the state dump.
-type State struct {
+type RequestState struct {
 	ID       string        `json:"id"`
 	Customer string        `json:"customer"`
 	Class    string        `json:"class"`
@@ -155,10 +155,10 @@
 const maxDump = 1000
 
 // Dump lists open requests, the oldest first.
-func (c *Core) Dump(now time.Time) []State {
-	out := make([]State, 0, len(c.reqs))
+func (c *Core) Dump(now time.Time) []RequestState {
+	out := make([]RequestState, 0, len(c.reqs))
 	for _, r := range c.reqs {
-		s := State{ID: r.ID, Customer: r.Customer, Class: r.Class, Phase: r.phase.String(), Attempt: r.attempt, Age: now.Sub(r.arrived)}
+		s := RequestState{ID: r.ID, Customer: r.Customer, Class: r.Class, Phase: r.phase.String(), Attempt: r.attempt, Age: now.Sub(r.arrived)}
 		if r.p.server != nil {
 			s.Prefill = r.p.server.Name
 		}
--- a/router/types.go
+++ b/router/types.go
@@ -68,7 +68,7 @@
 }
 
 // Free gives up whatever the attempt holds at Server.
-type Free struct {
+type Release struct {
 	ID     lease.ID
 	Server string
 }
@@ -91,23 +91,23 @@
 }
 
 // Attempt tells the stream that a newer attempt gives the chunks from now on.
-type Attempt struct {
+type SwitchAttempt struct {
 	ID lease.ID
 }
 
 // EjectedServer tells that a server was ejected after failures.
-type EjectedServer struct {
+type ServerEjected struct {
 	Server string
 }
 
 func (Reserve) effect()       {}
 func (StartPrefill) effect()  {}
 func (StartDecode) effect()   {}
-func (Free) effect()          {}
+func (Release) effect()       {}
 func (Refuse) effect()        {}
 func (Fail) effect()          {}
-func (Attempt) effect()       {}
-func (EjectedServer) effect() {}
+func (SwitchAttempt) effect() {}
+func (ServerEjected) effect() {}
 
 // Chooser picks servers for a request. The one of production is
 // placement.View.Choose; the policy benchmark has others to compare with.
@@ -122,9 +122,9 @@
 	Choose       Chooser
 	ChooseDecode DecodeChooser
 	// ReserveFirst holds a decode slot before the prefill starts.
-	ReserveFirst bool
+	ReserveDecodeFirst bool
 	// Admit defers and refuses by deadline; without it all start at once.
-	Admit bool
+	EnforceDeadlines bool
 }
 
 // DefaultPolicy is the one of production.
@@ -134,7 +134,7 @@
 		s, _ := v.ChooseDecode(now, q, from)
 		return s
 	}
-	return Policy{Choose: choose, ChooseDecode: decode, ReserveFirst: true, Admit: true}
+	return Policy{Choose: choose, ChooseDecode: decode, ReserveDecodeFirst: true, EnforceDeadlines: true}
 }
 
 // Options are the limits of one entry.
@@ -147,7 +147,7 @@
 	// StallAfter is the silence after which a transfer is given up.
 	StallAfter time.Duration
 	// Records bounds the decision records.
-	Records int
+	MaxRecords int
 	// Name is the entry's name in the records.
 	Name string
 }
@@ -156,19 +156,19 @@
 type Stats struct {
 	Admitted, Refused, Done, Failed, Cancelled int
 	// WastedTokens is prefill work whose result was thrown away, by cause.
-	WastedTokens map[Waste]int
+	WastedTokens map[WasteCause]int
 	// PrefillTokens is all prefill work that was started.
 	PrefillTokens int
 }
 
 // Waste is why the result of a prefill was thrown away.
-type Waste string
+type WasteCause string
 
 // The causes of wasted prefill.
 const (
-	WasteCaller   Waste = "caller_gone"
-	WastePrefill  Waste = "prefill_failed"
-	WasteTransfer Waste = "transfer_failed"
-	WasteDecode   Waste = "decode_failed"
-	WasteExpired  Waste = "kv_expired"
+	WasteCallerGone     WasteCause = "caller_gone"
+	WastePrefillFailed  WasteCause = "prefill_failed"
+	WasteTransferFailed WasteCause = "transfer_failed"
+	WasteDecodeFailed   WasteCause = "decode_failed"
+	WasteKVExpired      WasteCause = "kv_expired"
 )
