--- a/decision/decision.go
+++ b/decision/decision.go
@@ -67,10 +67,10 @@
 		fmt.Fprintf(&b, ": %s", s.Detail)
 	}
 	for _, c := range s.Candidates {
-		if c.Block != "" {
-			fmt.Fprintf(&b, "\n      not %s: %s", c.Server, c.Block)
+		if c.Exclusion != "" {
+			fmt.Fprintf(&b, "\n      not %s: %s", c.Server, c.Exclusion)
 		} else {
-			fmt.Fprintf(&b, "\n      could be %s: ready in %s, %d tokens cached", c.Server, c.Ready.Round(time.Millisecond), c.Cached)
+			fmt.Fprintf(&b, "\n      could be %s: ready in %s, %d tokens cached", c.Server, c.ReadyIn.Round(time.Millisecond), c.Cached)
 		}
 	}
 	return b.String()
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -274,7 +274,7 @@
 			continue
 		}
 		out.Servers = append(out.Servers, wire.ServerState{
-			Name: name, Leaving: s.Leaving(), Free: s.Free(), Models: s.Loaded(), Assets: a.assets, Role: a.role,
+			Name: name, Leaving: s.Leaving(), Free: s.Free(), Models: s.LoadedModels(), Assets: a.assets, Role: a.role,
 		})
 	}
 	sort.Slice(out.Servers, func(i, j int) bool { return out.Servers[i].Name < out.Servers[j].Name })
@@ -289,7 +289,7 @@
 	n := 0
 	for name, a := range e.agents {
 		s := e.core.View().Server(name)
-		if a.link != nil && (s == nil || a.reported && s.Free() > 0 && len(s.Loaded()) > 0) {
+		if a.link != nil && (s == nil || a.reported && s.Free() > 0 && len(s.LoadedModels()) > 0) {
 			n++
 		}
 	}
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -54,7 +54,7 @@
 	for name, a := range e.agents {
 		s := ServerDump{Name: name, Role: a.placed.Role, Up: a.link != nil, Leaving: a.leaving || e.leaving[name]}
 		if v := e.core.View().Server(name); v != nil {
-			s.Free, s.Rate, s.TokenTime, s.Models = v.Free(), v.Rate(), v.TokenTime().String(), v.Loaded()
+			s.Free, s.Rate, s.TokenTime, s.Models = v.Free(), v.Rate(), v.TokenTime().String(), v.LoadedModels()
 		}
 		d.Servers = append(d.Servers, s)
 	}
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -318,7 +318,7 @@
 		return nil
 	}
 	for name := range e.store.Tree().Fleet.Models {
-		if e.core.View().Usable(name) {
+		if e.core.View().ServesModel(name) {
 			out = append(out, name)
 		}
 	}
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -147,7 +147,7 @@
 // remove takes a server out that the settings do not have any more. Work in
 // progress there ends first; until then the server counts as leaving.
 func (e *Entry) remove(now time.Time, name string, a *agentLink) {
-	if s := e.core.View().Server(name); s != nil && s.Mine() > 0 {
+	if s := e.core.View().Server(name); s != nil && s.OwnSlots() > 0 {
 		e.core.View().SetLeaving(name, true)
 		e.removing = true
 		return
@@ -174,7 +174,7 @@
 }
 
 func (e *Entry) applyServer(p settings.Placed) {
-	info := placement.Info{
+	info := placement.ServerConfig{
 		Name: p.Name, Zone: p.Zone, Role: p.Role, Slots: p.Slots, LinkRate: float64(p.LinkRate),
 	}
 	if p.Role != settings.RoleService {
--- a/entry/spill.go
+++ b/entry/spill.go
@@ -45,13 +45,13 @@
 	changed := false
 	for name, until := range e.borrowed {
 		s := e.core.View().Server(name)
-		if now.After(until) && (s == nil || s.Mine() == 0) {
+		if now.After(until) && (s == nil || s.OwnSlots() == 0) {
 			delete(e.borrowed, name)
 			changed = true
 		}
 	}
 	for model := range e.store.Tree().Fleet.Models {
-		if !e.core.View().Usable(model) {
+		if !e.core.View().ServesModel(model) {
 			e.short[model] = now
 		}
 		if now.Sub(e.short[model]) < shortTime && e.borrow(now, model) {
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -23,9 +23,9 @@
 type Candidate struct {
 	Server string `json:"server"`
 	// Block is why it was ruled out; empty if it was not.
-	Block Block `json:"block,omitempty"`
+	Exclusion Exclusion `json:"block,omitempty"`
 	// Ready is the estimated time from now to the end of its part.
-	Ready time.Duration `json:"ready,omitempty"`
+	ReadyIn time.Duration `json:"ready,omitempty"`
 	// Cached is the expected number of cached prompt tokens.
 	Cached int `json:"cached,omitempty"`
 }
@@ -34,13 +34,13 @@
 type Choice struct {
 	Prefill, Decode *Server
 	// PrefillReady is the estimated time from now to the end of the prefill.
-	PrefillReady time.Duration
+	PrefillTime time.Duration
 	// FirstToken is the estimated time from now to the first token.
-	FirstToken time.Duration
+	FirstTokenTime time.Duration
 	// Work is the prefill work in tokens, without the expected cached part.
 	Work int
 	// Block is the reason if Prefill or Decode is nil.
-	Block Block
+	Exclusion Exclusion
 	// Considered lists some of the servers looked at.
 	Considered []Candidate
 }
@@ -70,24 +70,24 @@
 	var c Choice
 	d, ruled := v.chooseDecode(now, &q, nil, &c)
 	if d == nil {
-		c.Block = ruled
+		c.Exclusion = ruled
 		return c
 	}
 	p, ready, ruled := v.choosePrefill(now, &q, &c)
 	if p == nil {
-		c.Block = ruled
+		c.Exclusion = ruled
 		return c
 	}
 	c.Prefill, c.Decode = p, d
 	c.Work = q.Tokens - v.cached(p, &q)
-	c.PrefillReady = ready
-	c.FirstToken = ready + v.Transfer(p, d, q.KVBytes) + d.tokenTime
+	c.PrefillTime = ready
+	c.FirstTokenTime = ready + v.TransferTime(p, d, q.KVBytes) + d.tokenTime
 	return c
 }
 
 // Transfer estimates the time that a KV transfer takes: the transfers on a
 // link share its rate.
-func (v *View) Transfer(from, to *Server, bytes int64) time.Duration {
+func (v *View) TransferTime(from, to *Server, bytes int64) time.Duration {
 	rate := min(from.LinkRate, to.LinkRate)
 	sharers := 1 + max(from.transfers(), to.transfers())
 	took := time.Duration(float64(bytes) * float64(sharers) / max(rate, 1) * float64(time.Second))
@@ -116,30 +116,30 @@
 	}
 }
 
-func (c *Choice) consider(s *Server, b Block, ready time.Duration, cached int) {
+func (c *Choice) consider(s *Server, b Exclusion, ready time.Duration, cached int) {
 	if len(c.Considered) < maxConsidered {
-		c.Considered = append(c.Considered, Candidate{Server: s.Name, Block: b, Ready: ready, Cached: cached})
+		c.Considered = append(c.Considered, Candidate{Server: s.Name, Exclusion: b, ReadyIn: ready, Cached: cached})
 	}
 }
 
 // choosePrefill picks the server that would end the prefill first.
-func (v *View) choosePrefill(now time.Time, q *Query, c *Choice) (*Server, time.Duration, Block) {
+func (v *View) choosePrefill(now time.Time, q *Query, c *Choice) (*Server, time.Duration, Exclusion) {
 	var best *Server
 	var bestReady time.Duration
-	why := Block(NoModel)
+	why := Exclusion(NoModel)
 	try := func(s *Server) {
 		b := s.block(now, q)
-		if b == Open && (s.ownAhead(q.Priority) >= depth || s.Free() <= Headroom(true, s.slots, q.Priority)) {
+		if b == Eligible && (s.ownAhead(q.Priority) >= depth || s.Free() <= Headroom(true, s.slots, q.Priority)) {
 			b = Busy
 		}
-		if b != Open {
+		if b != Eligible {
 			why = worse(why, b)
 			c.consider(s, b, 0, 0)
 			return
 		}
 		cached := v.cached(s, q)
 		ready := s.prefillTime(q.Priority, q.Tokens-cached)
-		c.consider(s, Open, ready, cached)
+		c.consider(s, Eligible, ready, cached)
 		if best == nil || ready < bestReady {
 			best, bestReady = s, ready
 		}
@@ -153,7 +153,7 @@
 
 // worse keeps the reason that tells most: a server that could serve soon says
 // more than one that can't.
-func worse(a, b Block) Block {
+func worse(a, b Exclusion) Exclusion {
 	if a == Busy || a == NoSlot {
 		return a
 	}
@@ -171,7 +171,7 @@
 }
 
 // ChooseDecode picks a decode server alone, for a KV cache that is there.
-func (v *View) ChooseDecode(now time.Time, q Query, from *Server) (*Server, Block) {
+func (v *View) ChooseDecode(now time.Time, q Query, from *Server) (*Server, Exclusion) {
 	var c Choice
 	q.Priority = 0 // it may take the last slot
 	return v.chooseDecode(now, &q, from, &c)
@@ -179,16 +179,16 @@
 
 // chooseDecode picks the server with the largest free share, which keeps the
 // batches, and with them the time between tokens, even.
-func (v *View) chooseDecode(now time.Time, q *Query, from *Server, c *Choice) (*Server, Block) {
+func (v *View) chooseDecode(now time.Time, q *Query, from *Server, c *Choice) (*Server, Exclusion) {
 	var best *Server
 	var bestScore float64
-	why := Block(NoModel)
+	why := Exclusion(NoModel)
 	v.scan(v.decode, func(s *Server) {
 		b := s.block(now, q)
-		if b == Open && s.Free() <= Headroom(false, s.slots, q.Priority) {
+		if b == Eligible && s.Free() <= Headroom(false, s.slots, q.Priority) {
 			b = NoSlot
 		}
-		if b != Open {
+		if b != Eligible {
 			why = worse(why, b)
 			c.consider(s, b, 0, 0)
 			return
@@ -264,7 +264,7 @@
 
 // Shortest estimates the least time to a first token on any idle server pair;
 // zero if no server is known.
-func (v *View) Shortest(now time.Time, q Query) time.Duration {
+func (v *View) MinFirstTokenTime(now time.Time, q Query) time.Duration {
 	sp := v.fastest(now, q.Model)
 	if sp.rate == 0 {
 		return 0
--- a/placement/server.go
+++ b/placement/server.go
@@ -34,7 +34,7 @@
 }
 
 // Info is what the settings say of a server.
-type Info struct {
+type ServerConfig struct {
 	Name, Zone, Role string
 	// Models are those that it has when it is entered; an entry leaves them to
 	// the first report.
@@ -53,7 +53,7 @@
 
 // Server is one backend server as an entry sees it.
 type Server struct {
-	Info
+	ServerConfig
 	models  map[string]bool
 	up      bool
 	leaving bool
@@ -73,8 +73,8 @@
 	cache     *prefixSet
 }
 
-func newServer(i Info) *Server {
-	s := &Server{Info: i, rate: firstPrefillRate, tokenTime: firstTokenTime, cache: newPrefixSet(maxPrefixes)}
+func newServer(i ServerConfig) *Server {
+	s := &Server{ServerConfig: i, rate: firstPrefillRate, tokenTime: firstTokenTime, cache: newPrefixSet(maxPrefixes)}
 	s.slots = i.Slots
 	s.setModels(i.Models)
 	return s
@@ -91,7 +91,7 @@
 func (s *Server) Free() int { return s.slots - s.others - s.mine }
 
 // Mine counts the slots that this entry holds at the server.
-func (s *Server) Mine() int { return s.mine }
+func (s *Server) OwnSlots() int { return s.mine }
 
 // Outstanding counts the requests that are thought to be at the server.
 func (s *Server) Outstanding() int { return s.others + s.mine }
@@ -103,10 +103,10 @@
 func (s *Server) TokenTime() time.Duration { return s.tokenTime }
 
 // Up tells whether the entry has a link to the server's agent.
-func (s *Server) Up() bool { return s.up }
+func (s *Server) Connected() bool { return s.up }
 
 // Loaded lists the models that the server is thought to have loaded.
-func (s *Server) Loaded() []string {
+func (s *Server) LoadedModels() []string {
 	out := make([]string, 0, len(s.models))
 	for m := range s.models {
 		out = append(out, m)
@@ -138,26 +138,26 @@
 }
 
 // Block tells why a server can't take a request now; empty if it can.
-type Block string
+type Exclusion string
 
 // The reasons that rule a server out.
 const (
-	Open       Block = ""
-	Down       Block = "no link to its agent"
-	IsLeaving  Block = "leaving"
-	Ejected    Block = "ejected after failures"
-	NoModel    Block = "model not loaded"
-	NoSlot     Block = "no free slot"
-	Busy       Block = "prefills ahead"
-	JustFailed Block = "failed this request before"
+	Eligible     Exclusion = ""
+	Disconnected Exclusion = "no link to its agent"
+	Leaving      Exclusion = "leaving"
+	Ejected      Exclusion = "ejected after failures"
+	NoModel      Exclusion = "model not loaded"
+	NoSlot       Exclusion = "no free slot"
+	Busy         Exclusion = "prefills ahead"
+	JustFailed   Exclusion = "failed this request before"
 )
 
-func (s *Server) block(now time.Time, q *Query) Block {
+func (s *Server) block(now time.Time, q *Query) Exclusion {
 	switch {
 	case !s.up:
-		return Down
+		return Disconnected
 	case s.leaving:
-		return IsLeaving
+		return Leaving
 	case !s.models[q.Model]:
 		return NoModel
 	case q.Avoid != "" && q.Avoid == s.Name:
@@ -165,5 +165,5 @@
 	case !s.health.Usable(now):
 		return Ejected
 	}
-	return Open
+	return Eligible
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -27,7 +27,7 @@
 // Set enters a server or brings what the settings say of it up to date. What
 // was learnt of it stays, also which models it has: those of the settings are
 // only loaded when its agent says so.
-func (v *View) Set(i Info) *Server {
+func (v *View) Set(i ServerConfig) *Server {
 	s := v.servers[i.Name]
 	if s == nil {
 		s = newServer(i)
@@ -36,7 +36,7 @@
 		return s
 	}
 	changed := s.Role != i.Role
-	s.Info = i
+	s.ServerConfig = i
 	s.slots = i.Slots
 	if changed {
 		v.index()
@@ -76,7 +76,7 @@
 func (v *View) Rand() *rand.Rand { return v.rng }
 
 // SetUp tells that the link to a server's agent is there or lost.
-func (v *View) SetUp(name string, up bool) {
+func (v *View) SetConnected(name string, up bool) {
 	if s := v.servers[name]; s != nil {
 		s.up = up
 	}
@@ -111,7 +111,7 @@
 }
 
 // Usable tells whether any server pair serves the model, now or soon.
-func (v *View) Usable(model string) bool {
+func (v *View) ServesModel(model string) bool {
 	return anyServes(v.prefill, model) && anyServes(v.decode, model)
 }
 
@@ -125,7 +125,7 @@
 }
 
 // PrefillSent notes that this entry has prefill work at a server.
-func (v *View) PrefillSent(s *Server, priority, tokens int) {
+func (v *View) PrefillReserved(s *Server, priority, tokens int) {
 	s.own[priority] += int32(tokens)
 	s.ownCount[priority]++
 	s.mine++
@@ -133,7 +133,7 @@
 }
 
 // PrefillGone notes that the work has ended in whatever way.
-func (v *View) PrefillGone(s *Server, priority, tokens int) {
+func (v *View) PrefillReleased(s *Server, priority, tokens int) {
 	s.own[priority] -= int32(tokens)
 	s.ownCount[priority]--
 	s.mine--
@@ -162,19 +162,19 @@
 }
 
 // Forget drops all prefix hints of a server, for an engine that restarted.
-func (v *View) Forget(s *Server) { s.cache = newPrefixSet(maxPrefixes) }
+func (v *View) ForgetPrefixes(s *Server) { s.cache = newPrefixSet(maxPrefixes) }
 
 // SlotTaken notes that this entry holds a decode slot at a server.
-func (v *View) SlotTaken(s *Server) {
+func (v *View) SlotReserved(s *Server) {
 	s.mine++
 	s.health.StartProbe()
 }
 
 // SlotFreed notes that the slot is free again.
-func (v *View) SlotFreed(s *Server) { s.mine-- }
+func (v *View) SlotReleased(s *Server) { s.mine-- }
 
 // DecodeOK learns the time between tokens of a decode that went well.
-func (v *View) DecodeOK(s *Server, perToken time.Duration) {
+func (v *View) DecodeDone(s *Server, perToken time.Duration) {
 	s.health.RecordSuccess()
 	if perToken > 0 {
 		s.tokenTime += time.Duration(learnWeight * float64(perToken-s.tokenTime))
@@ -183,7 +183,7 @@
 
 // Failed takes a failure that the server is to blame for; it reports true if
 // the server is ejected by it.
-func (v *View) Failed(now time.Time, s *Server) bool { return s.health.RecordFailure(now) }
+func (v *View) RecordFailure(now time.Time, s *Server) bool { return s.health.RecordFailure(now) }
 
 // TransferStarted notes a transfer of this entry between two servers.
 func (v *View) TransferStarted(from, to *Server) {
--- a/policybench/fault.go
+++ b/policybench/fault.go
@@ -123,7 +123,7 @@
 	for _, e := range b.entries {
 		for i, s := range e.core.View().Prefill() {
 			if i%2 == 0 {
-				e.core.View().Forget(s)
+				e.core.View().ForgetPrefixes(s)
 			}
 		}
 	}
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -43,7 +43,7 @@
 		return fault.OverLimit, fmt.Sprintf("customer %s has %d open requests, its share here", req.Customer, openLimit)
 	case c.waiting >= c.opts.QueueLimit:
 		return fault.QueueFull, fmt.Sprintf("%d requests wait", c.waiting)
-	case !c.view.Usable(req.Model):
+	case !c.view.ServesModel(req.Model):
 		return fault.NoServer, "no server of model " + req.Model + " is in reach"
 	}
 	return nil, ""
--- a/router/failure.go
+++ b/router/failure.go
@@ -21,7 +21,7 @@
 
 func (c *Core) failed(now time.Time, r *request, server string, step fault.Step, detail string, blame bool) {
 	s := c.view.Server(server)
-	if blame && s != nil && c.view.Failed(now, s) {
+	if blame && s != nil && c.view.RecordFailure(now, s) {
 		c.emit(ServerEjected{Server: server})
 	}
 	c.note(now, r, decision.Step{Kind: decision.Failure, Server: server, Detail: string(step) + ": " + detail})
@@ -85,7 +85,7 @@
 // lostTransfer tries another decode server while the KV cache lives.
 func (c *Core) lostTransfer(now time.Time, r *request, atDecode bool, server string) {
 	c.freeDecode(r, true)
-	if atDecode && c.view.Server(r.p.server.Name) == r.p.server && r.p.server.Up() && c.budget.Take() {
+	if atDecode && c.view.Server(r.p.server.Name) == r.p.server && r.p.server.Connected() && c.budget.Take() {
 		r.avoid = server
 		c.note(now, r, decision.Step{Kind: decision.Retried, Detail: "another decode server, same prefill"})
 		c.renew(r)
@@ -153,7 +153,7 @@
 // ServerDown takes the loss of the link to a server's agent: everything at it
 // has failed.
 func (c *Core) ServerDown(now time.Time, server string) []Effect {
-	c.view.SetUp(server, false)
+	c.view.SetConnected(server, false)
 	for _, id := range sortedKeys(c.reqs) {
 		r := c.reqs[id]
 		if r != nil && r.uses(server) {
@@ -165,7 +165,7 @@
 
 // ServerUp takes a new link to a server's agent.
 func (c *Core) ServerUp(now time.Time, server string) []Effect {
-	c.view.SetUp(server, true)
+	c.view.SetConnected(server, true)
 	c.scheduleAll(now)
 	return c.take()
 }
@@ -218,12 +218,12 @@
 
 // LinkLost takes the loss of a link that may come back soon: the server gets
 // no new work, and what it runs goes on.
-func (c *Core) LinkLost(server string) { c.view.SetUp(server, false) }
+func (c *Core) LinkLost(server string) { c.view.SetConnected(server, false) }
 
 // Rejoin takes a new link to an agent and lists the attempts to resume there.
 // Reservations whose answer may be lost are given up.
 func (c *Core) LinkRestored(now time.Time, server string) ([]ResumableAttempt, []Effect) {
-	c.view.SetUp(server, true)
+	c.view.SetConnected(server, true)
 	var out []ResumableAttempt
 	for _, id := range sortedKeys(c.reqs) {
 		r := c.reqs[id]
--- a/router/progress.go
+++ b/router/progress.go
@@ -131,7 +131,7 @@
 	r.kv, r.kvID = kv, r.id()
 	r.kvUntil = now.Add(kv.TTL)
 	// The engine is done with the work, though it still holds the result.
-	c.view.PrefillGone(r.p.server, r.Priority, r.work)
+	c.view.PrefillReleased(r.p.server, r.Priority, r.work)
 	r.p.held = false
 	switch {
 	case r.d.given:
@@ -193,7 +193,7 @@
 	r.phase = importing
 	r.refusals = 0
 	r.transferAt = now
-	took := c.view.Transfer(r.p.server, r.d.server, r.kv.Bytes)
+	took := c.view.TransferTime(r.p.server, r.d.server, r.kv.Bytes)
 	c.view.TransferStarted(r.p.server, r.d.server)
 	r.moving = true
 	c.note(now, r, decision.Step{Kind: decision.Transfer, Server: r.d.server.Name,
@@ -267,7 +267,7 @@
 		return c.take()
 	}
 	c.stats.Done++
-	c.view.DecodeOK(r.d.server, perToken)
+	c.view.DecodeDone(r.d.server, perToken)
 	c.note(now, r, decision.Step{Kind: decision.Done, Detail: fmt.Sprintf("%d tokens in %s", r.sofar, now.Sub(r.arrived).Round(time.Millisecond))})
 	c.freeDecode(r, false)
 	c.forget(r)
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -48,10 +48,10 @@
 	if choice.Prefill == nil || (choice.Decode == nil && c.opts.Policy.ReserveDecodeFirst) {
 		return c.hopeless(now, q, r)
 	}
-	if c.late(now, r, choice.FirstToken) {
+	if c.late(now, r, choice.FirstTokenTime) {
 		c.dequeue(q, r)
 		c.refuse(now, r, fault.TargetOutOfReach,
-			fmt.Sprintf("first token in %s at the soonest", choice.FirstToken.Round(time.Millisecond)), c.comeBack(r))
+			fmt.Sprintf("first token in %s at the soonest", choice.FirstTokenTime.Round(time.Millisecond)), c.comeBack(r))
 		return true
 	}
 	q.Take(r.ID)
@@ -69,7 +69,7 @@
 // hopeless refuses a request whose target is out of reach even if a server
 // were idle now; it reports whether it did.
 func (c *Core) hopeless(now time.Time, q *admission.Queue, r *request) bool {
-	need := c.view.Shortest(now, r.query())
+	need := c.view.MinFirstTokenTime(now, r.query())
 	if !c.late(now, r, need) {
 		return false
 	}
@@ -101,19 +101,19 @@
 	r.work = choice.Work
 	r.p = half{server: choice.Prefill, held: true}
 	r.d = half{}
-	c.view.PrefillSent(r.p.server, r.Priority, r.work)
-	detail := fmt.Sprintf("prefill at %s, first token expected in %s", r.p.server.Name, choice.FirstToken.Round(time.Millisecond))
+	c.view.PrefillReserved(r.p.server, r.Priority, r.work)
+	detail := fmt.Sprintf("prefill at %s, first token expected in %s", r.p.server.Name, choice.FirstTokenTime.Round(time.Millisecond))
 	c.note(now, r, decision.Step{Kind: decision.Chosen, Detail: detail, Candidates: choice.Considered})
 	c.emit(SwitchAttempt{ID: r.id()})
 	c.emit(Reserve{
 		ID: r.id(), Server: r.p.server.Name, Role: Prefill, Model: r.Model, Priority: r.Priority,
-		Tokens: r.work, Hold: choice.FirstToken + holdSpare, Keep: r.Keep,
+		Tokens: r.work, Hold: choice.FirstTokenTime + holdSpare, Keep: r.Keep,
 	})
 	r.lead = time.Time{}
-	if c.opts.Policy.ReserveDecodeFirst && choice.FirstToken < longPrefill {
-		c.holdDecode(r, choice.Decode, r.Priority, choice.FirstToken+holdSpare)
+	if c.opts.Policy.ReserveDecodeFirst && choice.FirstTokenTime < longPrefill {
+		c.holdDecode(r, choice.Decode, r.Priority, choice.FirstTokenTime+holdSpare)
 	} else if c.opts.Policy.ReserveDecodeFirst {
-		r.lead = now.Add(choice.PrefillReady - reserveLead)
+		r.lead = now.Add(choice.PrefillTime - reserveLead)
 	}
 	c.setDue(r, now.Add(reserveTimeout))
 }
@@ -134,7 +134,7 @@
 // stay free for others.
 func (c *Core) holdDecode(r *request, s *placement.Server, priority int, hold time.Duration) {
 	r.d = half{server: s, held: true}
-	c.view.SlotTaken(s)
+	c.view.SlotReserved(s)
 	c.emit(Reserve{ID: r.id(), Server: s.Name, Role: Decode, Model: r.Model, Priority: priority, Hold: hold, Keep: r.Keep})
 }
 
@@ -144,7 +144,7 @@
 		return
 	}
 	r.p.held = false
-	c.view.PrefillGone(r.p.server, r.Priority, r.work)
+	c.view.PrefillReleased(r.p.server, r.Priority, r.work)
 	if tell {
 		c.emit(Release{ID: r.id(), Server: r.p.server.Name})
 	}
@@ -157,7 +157,7 @@
 	}
 	c.endMove(r)
 	r.d.held = false
-	c.view.SlotFreed(r.d.server)
+	c.view.SlotReleased(r.d.server)
 	if tell {
 		c.emit(Release{ID: r.id(), Server: r.d.server.Name})
 	}
--- a/router/tick.go
+++ b/router/tick.go
@@ -120,7 +120,7 @@
 	if !waits {
 		return
 	}
-	need := func(it *admission.Item) time.Duration { return c.view.Shortest(now, c.reqs[it.ID].query()) }
+	need := func(it *admission.Item) time.Duration { return c.view.MinFirstTokenTime(now, c.reqs[it.ID].query()) }
 	late := q.Due(level, now, need)
 	if d.mean > 0 {
 		late = append(late, q.Shed(level, now, d.mean)...)
