--- a/admission/queue.go
+++ b/admission/queue.go
@@ -20,7 +20,7 @@
 	Deadline time.Time
 	// Until is when it is of no use any more; Deadline if zero. It is later for
 	// a request that ran before, which goes first and is worth waiting for.
-	Until time.Time
+	Expires time.Time
 
 	pos int
 	in  *customer
@@ -28,10 +28,10 @@
 
 // until returns when the item is of no use any more.
 func (it *Item) until() time.Time {
-	if it.Until.IsZero() {
+	if it.Expires.IsZero() {
 		return it.Deadline
 	}
-	return it.Until
+	return it.Expires
 }
 
 // before orders items by deadline.
@@ -92,7 +92,7 @@
 func (q *Queue) Len() int { return len(q.byID) }
 
 // Ahead returns the work in tokens that waits with a priority up to p.
-func (q *Queue) Ahead(p int) int {
+func (q *Queue) QueuedWork(p int) int {
 	sum := 0
 	for i := 0; i <= p; i++ {
 		sum += q.levels[i].work
@@ -159,7 +159,7 @@
 
 // Next returns the item that goes next among the priorities from the given
 // one on, without taking it out; nil if none waits.
-func (q *Queue) Next(from int) *Item {
+func (q *Queue) Peek(from int) *Item {
 	for i := from; i < levels; i++ {
 		if l := q.levels[i]; l.order.Len() > 0 {
 			return l.order.First().items.First()
@@ -169,7 +169,7 @@
 }
 
 // Take takes an item out because it is served, and charges its customer.
-func (q *Queue) Take(id string) *Item {
+func (q *Queue) Dequeue(id string) *Item {
 	it := q.byID[id]
 	if it == nil {
 		return nil
@@ -183,7 +183,7 @@
 
 // Due takes out the items of a priority whose first token can't come in time
 // any more: need is the shortest time from now to the first token.
-func (q *Queue) Due(priority int, now time.Time, need func(*Item) time.Duration) []*Item {
+func (q *Queue) RemoveLate(priority int, now time.Time, need func(*Item) time.Duration) []*Item {
 	var out []*Item
 	for _, c := range q.levels[priority].order.Items() {
 		out = append(out, late(c.items.Items(), now, need)...)
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -53,7 +53,7 @@
 	r.phase = queued
 	c.queue(r.Model).Add(&admission.Item{
 		ID: r.ID, Customer: r.Customer, Share: r.Share, Priority: r.Priority,
-		Work: r.Tokens + r.sofar, Deadline: r.due0(), Until: r.until(now),
+		Work: r.Tokens + r.sofar, Deadline: r.due0(), Expires: r.until(now),
 	})
 	c.waiting++
 }
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -26,7 +26,7 @@
 func (c *Core) schedule(now time.Time, model string) {
 	q := c.queue(model)
 	for level := 0; ; {
-		it := q.Next(level)
+		it := q.Peek(level)
 		if it == nil {
 			return
 		}
@@ -54,7 +54,7 @@
 			fmt.Sprintf("first token in %s at the soonest", choice.FirstTokenTime.Round(time.Millisecond)), c.comeBack(r))
 		return true
 	}
-	q.Take(r.ID)
+	q.Dequeue(r.ID)
 	c.waiting--
 	c.drainRate(r.Model, r.Priority).take(r.Tokens)
 	c.reserve(now, r, choice)
@@ -90,7 +90,7 @@
 	if rate <= 0 {
 		return time.Second
 	}
-	wait := time.Duration(float64(c.queue(r.Model).Ahead(r.Priority)) / rate * float64(time.Second))
+	wait := time.Duration(float64(c.queue(r.Model).QueuedWork(r.Priority)) / rate * float64(time.Second))
 	return min(max(wait, time.Second), time.Minute)
 }
 
--- a/router/tick.go
+++ b/router/tick.go
@@ -52,7 +52,7 @@
 // forgive lets requests that agents refused too often try again.
 func (c *Core) forgive(model string) {
 	for level := 0; level < placement.Priorities; level++ {
-		if it := c.queue(model).Next(level); it != nil {
+		if it := c.queue(model).Peek(level); it != nil {
 			c.reqs[it.ID].refusals = 0
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 func (c *Core) shedLevel(now time.Time, model string, q *admission.Queue, level int) {
-	next := q.Next(level)
+	next := q.Peek(level)
 	waits := next != nil && next.Priority == level
 	d := c.drainRate(model, level)
 	d.watch(now, waits)
@@ -121,7 +121,7 @@
 		return
 	}
 	need := func(it *admission.Item) time.Duration { return c.view.MinFirstTokenTime(now, c.reqs[it.ID].query()) }
-	late := q.Due(level, now, need)
+	late := q.RemoveLate(level, now, need)
 	if d.mean > 0 {
 		late = append(late, q.Shed(level, now, d.mean)...)
 	}
