--- a/agent/agent.go
+++ b/agent/agent.go
@@ -106,7 +106,7 @@
 // Start returns a running agent.
 func Start(cfg Config) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
-	opts := lease.Options{Time: firstLease, CancelEvery: cancelEvery}
+	opts := lease.Options{TTL: firstLease, CancelInterval: cancelEvery}
 	a := &Agent{
 		cfg: cfg, log: cfg.Log.With("role", "agent", "name", cfg.Name), epoch: clock.Day().UnixNano(),
 		ctx: ctx, cancel: cancel, work: lease.New(0, opts), kv: lease.New(kvSlots, opts),
@@ -204,14 +204,14 @@
 		if now.After(until) {
 			delete(a.orphans, id)
 			event.OrphanCancelled.Log(a.log, "request", id.Req)
-			a.effects(a.work, a.work.Adopt(now, id))
+			a.effects(a.work, a.work.CancelOrphan(now, id))
 		}
 	}
 	for owner, at := range a.parted {
 		if now.Sub(at) > rejoinGrace {
 			delete(a.parted, owner)
-			a.effects(a.work, a.work.Gone(now, owner))
-			a.effects(a.kv, a.kv.Gone(now, owner))
+			a.effects(a.work, a.work.ExpireOwner(now, owner))
+			a.effects(a.kv, a.kv.ExpireOwner(now, owner))
 		}
 	}
 	a.effects(a.work, a.work.Tick(now))
--- a/agent/links.go
+++ b/agent/links.go
@@ -43,7 +43,7 @@
 	}
 	a.links[owner] = l
 	delete(a.parted, owner)
-	a.work.Seen(clock.VM.Now(), owner)
+	a.work.Renew(clock.VM.Now(), owner)
 	a.sendBeat(owner, l)
 	a.tellAssets(l)
 }
@@ -146,8 +146,8 @@
 	now := clock.VM.Now()
 	switch {
 	case m.Heartbeat != nil:
-		a.work.Seen(now, owner)
-		a.kv.Seen(now, owner)
+		a.work.Renew(now, owner)
+		a.kv.Renew(now, owner)
 		a.pull(now, l, m.Heartbeat.Revision)
 	case m.Settings != nil:
 		a.takeSettings(now, l, m.Settings)
@@ -229,8 +229,8 @@
 		return
 	}
 	a.work.SetSlots(p.Slots)
-	a.work.SetTime(p.LeaseTime)
-	a.kv.SetTime(p.LeaseTime)
+	a.work.SetTTL(p.LeaseTime)
+	a.kv.SetTTL(p.LeaseTime)
 	a.joinGroup(now, before)
 	// Entries have to know of the slots at once, not with the next heartbeat.
 	a.beatLocked()
--- a/agent/recover.go
+++ b/agent/recover.go
@@ -45,7 +45,7 @@
 func (a *Agent) resume(now time.Time, owner string, l *wire.Link, m *wire.Resume) {
 	if _, ok := a.orphans[m.ID]; ok && m.Decode {
 		delete(a.orphans, m.ID)
-		a.work.Claim(now, m.ID, owner, m.Keep)
+		a.work.Restore(now, m.ID, owner, m.Keep)
 		a.jobs[m.ID] = &job{owner: owner}
 		a.note(m.ID, decision.Retried, fmt.Sprintf("claimed by %s after a restart of the agent", l.Peer.Name))
 		a.reopen(owner, m)
--- a/agent/work.go
+++ b/agent/work.go
@@ -43,9 +43,9 @@
 func (a *Agent) reserve(now time.Time, owner string, l *wire.Link, m *wire.Reserve) {
 	reason := lease.NoModel
 	if slices.Contains(a.models, m.Model) {
-		reason = a.work.Reserve(now, lease.Ask{
+		reason = a.work.Reserve(now, lease.Request{
 			ID: m.ID, Owner: owner, Hold: m.Hold, Keep: m.Keep,
-			Spare: placement.Headroom(m.Tokens > 0, a.work.Slots(), m.Priority),
+			Headroom: placement.Headroom(m.Tokens > 0, a.work.Slots(), m.Priority),
 		})
 	}
 	if reason == lease.None {
@@ -115,8 +115,8 @@
 		return // cancelled meanwhile; the cancel frees the result too
 	}
 	a.work.Finish(id)
-	a.kv.Claim(now, id, owner, false)
-	a.kv.Limit(id, now.Add(res.KV.TTL))
+	a.kv.Restore(now, id, owner, false)
+	a.kv.SetDeadline(id, now.Add(res.KV.TTL))
 	if a.lastEnd.After(start) {
 		start = a.lastEnd // it waited for the one before
 	}
@@ -241,7 +241,7 @@
 }
 
 // effects carries out the cancels that a table asks for. Callers hold the lock.
-func (a *Agent) effects(t *lease.Table, list []lease.Effect) {
+func (a *Agent) effects(t *lease.Table, list []lease.EngineCancel) {
 	for _, e := range list {
 		metric.Cancels.WithLabelValues(a.cfg.Name, "sent").Inc()
 		switch {
--- a/lease/table.go
+++ b/lease/table.go
@@ -47,7 +47,7 @@
 )
 
 // Effect asks the shell to cancel a request at the engine.
-type Effect struct {
+type EngineCancel struct {
 	ID ID
 	// Try counts the cancels of this request, from 1.
 	Try int
@@ -58,9 +58,9 @@
 // Options are the fixed times of a table.
 type Options struct {
 	// Time is how long a lease outlives the silence of its owner.
-	Time time.Duration
+	TTL time.Duration
 	// CancelEvery is the time between two cancels of one request.
-	CancelEvery time.Duration
+	CancelInterval time.Duration
 }
 
 type entry struct {
@@ -101,7 +101,7 @@
 func (t *Table) SetSlots(n int) { t.slots = n }
 
 // SetTime changes how long a lease outlives the silence of its owner.
-func (t *Table) SetTime(d time.Duration) { t.opts.Time = d }
+func (t *Table) SetTTL(d time.Duration) { t.opts.TTL = d }
 
 // SetLeaving tells that the server is leaving, or is back.
 func (t *Table) SetLeaving(leaving bool) { t.leaving = leaving }
@@ -149,7 +149,7 @@
 }
 
 // Ask is a wish for a slot.
-type Ask struct {
+type Request struct {
 	ID    ID
 	Owner string
 	// Hold is how long the slot waits for its work.
@@ -158,11 +158,11 @@
 	Keep bool
 	// Spare is the number of slots that must stay free, for work of a higher
 	// priority.
-	Spare int
+	Headroom int
 }
 
 // Reserve gives a slot, or says why not.
-func (t *Table) Reserve(now time.Time, a Ask) Reason {
+func (t *Table) Reserve(now time.Time, a Request) Reason {
 	switch {
 	case t.recovering:
 		return Recovery
@@ -170,7 +170,7 @@
 		return Leaving
 	case t.leases[a.ID] != nil:
 		return Duplicate
-	case len(t.leases)+a.Spare >= t.slots:
+	case len(t.leases)+a.Headroom >= t.slots:
 		return Full
 	}
 	e := &entry{id: a.ID, owner: a.Owner, keep: a.Keep, due: now.Add(a.Hold), pos: -1}
@@ -201,7 +201,7 @@
 }
 
 // Limit sets the moment at which a running request is cancelled by itself.
-func (t *Table) Limit(id ID, at time.Time) {
+func (t *Table) SetDeadline(id ID, at time.Time) {
 	e := t.leases[id]
 	if e == nil || e.state != Running {
 		return
@@ -225,7 +225,7 @@
 
 // Cancel gives up a lease. A held slot is free at once; a running request is
 // cancelled at the engine.
-func (t *Table) Cancel(now time.Time, id ID) []Effect {
+func (t *Table) Cancel(now time.Time, id ID) []EngineCancel {
 	e := t.leases[id]
 	if e == nil || e.state == Cancelling {
 		return nil
@@ -234,23 +234,23 @@
 		t.Finish(id)
 		return nil
 	}
-	return []Effect{t.cancel(now, e)}
+	return []EngineCancel{t.cancel(now, e)}
 }
 
-func (t *Table) cancel(now time.Time, e *entry) Effect {
+func (t *Table) cancel(now time.Time, e *entry) EngineCancel {
 	e.state = Cancelling
 	e.try++
-	e.due = now.Add(t.opts.CancelEvery)
+	e.due = now.Add(t.opts.CancelInterval)
 	if e.pos < 0 {
 		t.due.Push(e)
 	} else {
 		t.due.Fix(e.pos)
 	}
-	return Effect{ID: e.id, Try: e.try}
+	return EngineCancel{ID: e.id, Try: e.try}
 }
 
 // Seen renews all leases of an owner.
-func (t *Table) Seen(now time.Time, by string) {
+func (t *Table) Renew(now time.Time, by string) {
 	if o := t.owners[by]; o != nil {
 		o.seen = now
 	}
@@ -258,17 +258,17 @@
 
 // Adopt enters a request that the engine runs and nobody holds a lease for.
 // It is cancelled at once.
-func (t *Table) Adopt(now time.Time, id ID) []Effect {
+func (t *Table) CancelOrphan(now time.Time, id ID) []EngineCancel {
 	if t.leases[id] != nil {
 		return nil
 	}
 	e := &entry{id: id, state: Running, pos: -1}
 	t.add(now, e)
-	return []Effect{t.cancel(now, e)}
+	return []EngineCancel{t.cancel(now, e)}
 }
 
 // Gone gives up all leases of an owner whose link has closed and not come back.
-func (t *Table) Gone(now time.Time, by string) []Effect {
+func (t *Table) ExpireOwner(now time.Time, by string) []EngineCancel {
 	o := t.owners[by]
 	if o == nil {
 		return nil
@@ -278,7 +278,7 @@
 
 // Claim enters a request that the engine runs for an owner that knows it, after
 // a restart of the agent. It reports false if the table has it already.
-func (t *Table) Claim(now time.Time, id ID, by string, keep bool) bool {
+func (t *Table) Restore(now time.Time, id ID, by string, keep bool) bool {
 	if t.leases[id] != nil {
 		return false
 	}
@@ -288,7 +288,7 @@
 
 // Tick gives up the leases of silent owners and holds that ran out, and
 // repeats cancels that are due.
-func (t *Table) Tick(now time.Time) []Effect {
+func (t *Table) Tick(now time.Time) []EngineCancel {
 	out := t.expireOwners(now)
 	for t.due.Len() > 0 && !t.due.First().due.After(now) {
 		e := t.due.First()
@@ -301,16 +301,16 @@
 	return out
 }
 
-func (t *Table) expireOwners(now time.Time) []Effect {
-	var out []Effect
+func (t *Table) expireOwners(now time.Time) []EngineCancel {
+	var out []EngineCancel
 	for name, o := range t.owners {
 		if len(o.leases) == 0 {
-			if now.Sub(o.seen) > t.opts.Time {
+			if now.Sub(o.seen) > t.opts.TTL {
 				delete(t.owners, name)
 			}
 			continue
 		}
-		if now.Sub(o.seen) <= t.opts.Time {
+		if now.Sub(o.seen) <= t.opts.TTL {
 			continue
 		}
 		out = append(out, t.giveUp(now, o)...)
@@ -320,8 +320,8 @@
 }
 
 // giveUp cancels the leases of an owner, in the order of their IDs.
-func (t *Table) giveUp(now time.Time, o *owner) []Effect {
-	var out []Effect
+func (t *Table) giveUp(now time.Time, o *owner) []EngineCancel {
+	var out []EngineCancel
 	for id, e := range o.leases {
 		if !e.keep {
 			out = append(out, t.Cancel(now, id)...)
@@ -334,25 +334,25 @@
 	return out
 }
 
-func sortEffects(list []Effect) {
-	slices.SortFunc(list, func(a, b Effect) int {
+func sortEffects(list []EngineCancel) {
+	slices.SortFunc(list, func(a, b EngineCancel) int {
 		return cmp.Or(cmp.Compare(a.ID.Req, b.ID.Req), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
 	})
 }
 
 // Lease is one row of the state dump.
 type Lease struct {
-	ID    ID     `json:"id"`
-	Owner string `json:"owner"`
-	State string `json:"state"`
-	Tries int    `json:"cancels,omitempty"`
+	ID      ID     `json:"id"`
+	Owner   string `json:"owner"`
+	State   string `json:"state"`
+	Cancels int    `json:"cancels,omitempty"`
 }
 
 // Dump lists all leases.
 func (t *Table) Dump() []Lease {
 	out := make([]Lease, 0, len(t.leases))
 	for id, e := range t.leases {
-		out = append(out, Lease{ID: id, Owner: e.owner, State: e.state.String(), Tries: e.try})
+		out = append(out, Lease{ID: id, Owner: e.owner, State: e.state.String(), Cancels: e.try})
 	}
 	return out
 }
--- a/policybench/fault.go
+++ b/policybench/fault.go
@@ -92,8 +92,8 @@
 	e.alive = false
 	b.after(rejoinGrace, func() {
 		for _, s := range b.order {
-			s.effects(s.table, s.table.Gone(b.now, e.name))
-			s.effects(s.kvs, s.kvs.Gone(b.now, e.name))
+			s.effects(s.table, s.table.ExpireOwner(b.now, e.name))
+			s.effects(s.kvs, s.kvs.ExpireOwner(b.now, e.name))
 		}
 	})
 	for _, r := range b.list {
--- a/policybench/server.go
+++ b/policybench/server.go
@@ -62,8 +62,8 @@
 
 func newServer(b *bench, name, role string, speed float64, slots int) *server {
 	s := &server{b: b, name: name, role: role, speed: speed, alive: true, agentUp: true,
-		table:  lease.New(slots, lease.Options{Time: leaseTime, CancelEvery: cancelEvery}),
-		kvs:    lease.New(100000, lease.Options{Time: leaseTime, CancelEvery: cancelEvery}),
+		table:  lease.New(slots, lease.Options{TTL: leaseTime, CancelInterval: cancelEvery}),
+		kvs:    lease.New(100000, lease.Options{TTL: leaseTime, CancelInterval: cancelEvery}),
 		owners: map[lease.ID]*entry{}, tokens: map[lease.ID]int{}, prio: map[lease.ID]int{},
 		incoming: map[lease.ID]*transfer{}, kv: map[lease.ID]*prefillJob{}, cache: map[uint64]*list.Element{}, lru: list.New()}
 	b.every(100*time.Millisecond, func() {
@@ -110,8 +110,8 @@
 		if !e.alive {
 			continue
 		}
-		s.table.Seen(s.b.now, e.name)
-		s.kvs.Seen(s.b.now, e.name)
+		s.table.Renew(s.b.now, e.name)
+		s.kvs.Renew(s.b.now, e.name)
 		if s.b.reportsStopped {
 			continue
 		}
@@ -124,8 +124,8 @@
 	if !s.agentUp {
 		return
 	}
-	reason := s.table.Reserve(s.b.now, lease.Ask{
-		ID: r.ID, Owner: e.name, Hold: r.Hold, Spare: placement.Headroom(s.role == "prefill", s.table.Slots(), r.Priority),
+	reason := s.table.Reserve(s.b.now, lease.Request{
+		ID: r.ID, Owner: e.name, Hold: r.Hold, Headroom: placement.Headroom(s.role == "prefill", s.table.Slots(), r.Priority),
 	})
 	if !s.alive {
 		reason = "engine lost"
@@ -159,7 +159,7 @@
 }
 
 // effects cancels requests at the engine.
-func (s *server) effects(t *lease.Table, list []lease.Effect) {
+func (s *server) effects(t *lease.Table, list []lease.EngineCancel) {
 	for _, eff := range list {
 		s.b.after(cancelTook, func() {
 			if !s.alive || !s.agentUp {
@@ -283,21 +283,21 @@
 // still runs is found and cancelled.
 func (s *server) restartAgent() {
 	s.agentUp = true
-	s.table = lease.New(s.table.Slots(), lease.Options{Time: leaseTime, CancelEvery: cancelEvery})
-	s.kvs = lease.New(100000, lease.Options{Time: leaseTime, CancelEvery: cancelEvery})
+	s.table = lease.New(s.table.Slots(), lease.Options{TTL: leaseTime, CancelInterval: cancelEvery})
+	s.kvs = lease.New(100000, lease.Options{TTL: leaseTime, CancelInterval: cancelEvery})
 	s.owners, s.tokens = map[lease.ID]*entry{}, map[lease.ID]int{}
 	for _, j := range append([]*decodeJob(nil), s.running...) {
-		s.effects(s.table, s.table.Adopt(s.b.now, j.id))
+		s.effects(s.table, s.table.CancelOrphan(s.b.now, j.id))
 	}
 	for _, j := range append([]*prefillJob(nil), s.queue...) {
-		s.effects(s.table, s.table.Adopt(s.b.now, j.id))
+		s.effects(s.table, s.table.CancelOrphan(s.b.now, j.id))
 	}
 	moving := map[lease.ID]string{}
 	for id := range s.incoming {
 		moving[id] = ""
 	}
 	for _, id := range sortedIDs(moving) {
-		s.effects(s.table, s.table.Adopt(s.b.now, id))
+		s.effects(s.table, s.table.CancelOrphan(s.b.now, id))
 	}
 	s.kv = map[lease.ID]*prefillJob{}
 	for _, e := range s.b.entries {
--- a/policybench/work.go
+++ b/policybench/work.go
@@ -134,7 +134,7 @@
 	e := s.owners[j.id]
 	s.forget(j.id)
 	if e != nil {
-		s.kvs.Claim(s.b.now, j.id, e.name, false)
+		s.kvs.Restore(s.b.now, j.id, e.name, false)
 		l := s.load(e)
 		s.b.toEntry(e, func() {
 			e.core.View().Report(s.name, l)
