--- a/agent/claims.go
+++ b/agent/claims.go
@@ -29,7 +29,7 @@
 	a.group = key
 	a.voter = claim.NewVoter(now, a.cfg.Name, uint64(a.epoch), members, life)
 	if a.cfg.FoundClaims || before != nil && len(before.Fleet.Services[key.service].ClaimGroup[key.site]) == 0 {
-		a.voter.Found()
+		a.voter.Bootstrap()
 		return
 	}
 	event.VoterCold.Log(a.log, "service", key.service, "site", key.site)
@@ -66,7 +66,7 @@
 			a.copyFrom(v, p)
 		}
 		a.mu.Lock()
-		warm := v.Warm()
+		warm := v.Ready()
 		a.mu.Unlock()
 		if warm {
 			event.VoterWarm.Log(a.log)
@@ -90,7 +90,7 @@
 			return
 		}
 		a.mu.Lock()
-		v.Copied(clock.VM.Now(), *m.Copied)
+		v.ApplyCopy(clock.VM.Now(), *m.Copied)
 		a.mu.Unlock()
 		if m.Copied.Cold {
 			l.Close()
@@ -103,7 +103,7 @@
 // askCopy asks a member for its next part; it closes the link if there is none.
 func (a *Agent) askCopy(v *claim.Voter, name string, l *wire.Link) {
 	a.mu.Lock()
-	ask := v.Copy(name)
+	ask := v.NextCopyRequest(name)
 	a.mu.Unlock()
 	if ask == nil {
 		l.Close()
@@ -113,10 +113,10 @@
 }
 
 // grant votes on a claim. Callers hold the lock.
-func (a *Agent) grant(now time.Time, l *wire.Link, m *claim.Ask) {
+func (a *Agent) grant(now time.Time, l *wire.Link, m *claim.VoteRequest) {
 	vote := claim.Vote{Key: m.Key, Attempt: m.Attempt, Voter: a.cfg.Name, Cold: true}
 	if a.voter != nil {
-		vote = a.voter.Ask(now, *m)
+		vote = a.voter.Vote(now, *m)
 	}
 	_ = l.Send(&wire.Message{Granted: &vote})
 }
@@ -127,9 +127,9 @@
 	}
 }
 
-func (a *Agent) copyFor(now time.Time, l *wire.Link, m *claim.Copy) {
+func (a *Agent) copyFor(now time.Time, l *wire.Link, m *claim.CopyRequest) {
 	if a.voter != nil {
-		c := a.voter.CopyFor(now, *m)
+		c := a.voter.AnswerCopy(now, *m)
 		_ = l.Send(&wire.Message{Copied: &c})
 	}
 }
--- a/agent/dump.go
+++ b/agent/dump.go
@@ -35,7 +35,7 @@
 		d.Links = append(d.Links, l.Peer.Name)
 	}
 	if a.voter != nil {
-		d.Keys, d.Voting = a.voter.Keys(), a.voter.Warm()
+		d.Keys, d.Voting = a.voter.Keys(), a.voter.Ready()
 	}
 	return d
 }
--- a/claim/message.go
+++ b/claim/message.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Ask asks a voter to grant a key to an attempt.
-type Ask struct {
+type VoteRequest struct {
 	Key     string `cbor:"1,keyasint"`
 	Attempt string `cbor:"2,keyasint"`
 	// Body is the hash of the call, so that a key reused for another call is
@@ -57,7 +57,7 @@
 // Copy asks a voter for a part of its grants, for a voter that restarted. It
 // also tells the incarnation of the asker, which is noted before the first
 // part is read.
-type Copy struct {
+type CopyRequest struct {
 	Voter       string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// From is the number of grants that the asker has got.
@@ -65,14 +65,14 @@
 }
 
 // Copied answers a Copy.
-type Copied struct {
+type CopyReply struct {
 	Voter       string            `cbor:"1,keyasint"`
 	Incarnation uint64            `cbor:"2,keyasint"`
 	Known       map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	// For is the incarnation that asked.
-	For  uint64 `cbor:"4,keyasint"`
-	Cold bool   `cbor:"5,keyasint,omitempty"`
-	Held []Held `cbor:"6,keyasint,omitempty"`
+	For  uint64    `cbor:"4,keyasint"`
+	Cold bool      `cbor:"5,keyasint,omitempty"`
+	Held []HeldKey `cbor:"6,keyasint,omitempty"`
 	// From is the number of grants before this part; More tells that there are
 	// others after it.
 	From int  `cbor:"7,keyasint,omitempty"`
@@ -80,7 +80,7 @@
 }
 
 // Held is one granted key.
-type Held struct {
+type HeldKey struct {
 	Key     string        `cbor:"1,keyasint"`
 	Attempt string        `cbor:"2,keyasint"`
 	Body    uint64        `cbor:"3,keyasint"`
--- a/claim/proposer.go
+++ b/claim/proposer.go
@@ -6,7 +6,7 @@
 // The verdicts.
 const (
 	// Waiting means that more votes are needed.
-	Waiting Verdict = iota
+	Pending Verdict = iota
 	// Won means that the attempt may send its call, once.
 	Won
 	// Lost means that the attempt has sent nothing and never will, and that no
@@ -15,13 +15,13 @@
 	// Unreached means that the attempt has sent nothing and never will, but so
 	// many voters are out of reach that an earlier attempt with the same key
 	// may have won.
-	Unreached
+	Unreachable
 	// Taken means that another attempt may have sent the call.
-	Taken
+	HeldByOther
 	// Answered means that another attempt has the recorded answer.
 	Answered
 	// Misused means that the key was used with another body.
-	Misused
+	KeyReused
 )
 
 // String returns the verdict in reports.
@@ -44,8 +44,8 @@
 
 // Vote takes one vote and returns the verdict. Once it is not Waiting, it
 // stays.
-func (p *Proposer) Vote(v Vote) Verdict {
-	if p.final != Waiting || v.Attempt != p.attempt {
+func (p *Proposer) AddVote(v Vote) Verdict {
+	if p.final != Pending || v.Attempt != p.attempt {
 		return p.final
 	}
 	p.votes[v.Voter] = v
@@ -55,7 +55,7 @@
 
 // Close ends the wait: voters that have not answered count as unknown.
 func (p *Proposer) Close() Verdict {
-	if p.final == Waiting {
+	if p.final == Pending {
 		p.final = p.judge(true)
 	}
 	return p.final
@@ -76,7 +76,7 @@
 	holders := map[string]int{}
 	for _, v := range p.votes {
 		if v.Other {
-			return Misused
+			return KeyReused
 		}
 		if v.Answer != nil {
 			return Answered
@@ -96,7 +96,7 @@
 		return Won
 	}
 	if len(p.votes) < p.size && !last {
-		return Waiting // a later vote may show that nobody has won
+		return Pending // a later vote may show that nobody has won
 	}
 	return p.lost(holders, unknown)
 }
@@ -106,11 +106,11 @@
 func (p *Proposer) lost(holders map[string]int, unknown int) Verdict {
 	for _, n := range holders {
 		if n+unknown >= Majority(p.size) {
-			return Taken
+			return HeldByOther
 		}
 	}
 	if unknown >= Majority(p.size) {
-		return Unreached
+		return Unreachable
 	}
 	return Lost
 }
--- a/claim/voter.go
+++ b/claim/voter.go
@@ -32,7 +32,7 @@
 	// got counts the grants that came from each member so far; lists are the
 	// grants that are being sent to members, as they were at the first part.
 	got    map[string]int
-	lists  map[string][]Held
+	lists  map[string][]HeldKey
 	grants map[string]*grant
 	expiry pq.Queue[*grant]
 }
@@ -44,7 +44,7 @@
 func NewVoter(now time.Time, name string, incarnation uint64, members []string, wait time.Duration) *Voter {
 	v := &Voter{
 		name: name, incarnation: incarnation, members: members, warmAt: now.Add(wait),
-		known: map[string]uint64{}, copied: map[string]bool{}, got: map[string]int{}, lists: map[string][]Held{}, grants: map[string]*grant{},
+		known: map[string]uint64{}, copied: map[string]bool{}, got: map[string]int{}, lists: map[string][]HeldKey{}, grants: map[string]*grant{},
 	}
 	v.expiry.Less = func(a, b *grant) bool { return a.expires.Before(b.expires) }
 	v.expiry.Moved = func(g *grant, place int) { g.pos = place }
@@ -52,22 +52,22 @@
 }
 
 // Warm tells whether the voter votes.
-func (v *Voter) Warm() bool { return v.warm }
+func (v *Voter) Ready() bool { return v.warm }
 
 // Keys counts the keys that are kept.
 func (v *Voter) Keys() int { return len(v.grants) }
 
 // Found makes the voter vote at once: the group is new and has no past. Only
 // the operator, or a test, can know that.
-func (v *Voter) Found() { v.warm = true }
+func (v *Voter) Bootstrap() { v.warm = true }
 
 // Copy returns what a cold voter asks another member next; nil once it is warm
 // or has all of that member's grants.
-func (v *Voter) Copy(from string) *Copy {
+func (v *Voter) NextCopyRequest(from string) *CopyRequest {
 	if v.warm || v.copied[from] {
 		return nil
 	}
-	return &Copy{Voter: v.name, Incarnation: v.incarnation, From: v.got[from]}
+	return &CopyRequest{Voter: v.name, Incarnation: v.incarnation, From: v.got[from]}
 }
 
 // Tick forgets keys whose lifetime is over and ends a long wait.
@@ -81,7 +81,7 @@
 }
 
 // Ask decides on one attempt.
-func (v *Voter) Ask(now time.Time, a Ask) Vote {
+func (v *Voter) Vote(now time.Time, a VoteRequest) Vote {
 	v.Tick(now)
 	out := Vote{Key: a.Key, Attempt: a.Attempt, Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy()}
 	if !v.warm {
@@ -139,7 +139,7 @@
 )
 
 // partEnd returns where the part of a list that begins at from ends.
-func partEnd(list []Held, from int) int {
+func partEnd(list []HeldKey, from int) int {
 	size := 0
 	end := from
 	for end < len(list) && end < from+maxPart && size < maxPartBytes {
@@ -153,11 +153,11 @@
 
 // CopyFor answers a restarted member. Its incarnation is noted before the first
 // part is read, so that every later vote tells it.
-func (v *Voter) CopyFor(now time.Time, c Copy) Copied {
+func (v *Voter) AnswerCopy(now time.Time, c CopyRequest) CopyReply {
 	if c.Incarnation > v.known[c.Voter] {
 		v.known[c.Voter] = c.Incarnation
 	}
-	out := Copied{Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy(), For: c.Incarnation, Cold: !v.warm, From: c.From}
+	out := CopyReply{Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy(), For: c.Incarnation, Cold: !v.warm, From: c.From}
 	if !v.warm {
 		return out
 	}
@@ -166,7 +166,7 @@
 	}
 	list := v.lists[c.Voter]
 	if c.From > len(list) {
-		return Copied{Voter: v.name, For: c.Incarnation, Cold: true} // it has to begin anew
+		return CopyReply{Voter: v.name, For: c.Incarnation, Cold: true} // it has to begin anew
 	}
 	end := partEnd(list, c.From)
 	out.Held = list[c.From:end]
@@ -178,17 +178,17 @@
 }
 
 // held lists all grants.
-func (v *Voter) held(now time.Time) []Held {
-	out := make([]Held, 0, len(v.grants))
+func (v *Voter) held(now time.Time) []HeldKey {
+	out := make([]HeldKey, 0, len(v.grants))
 	for _, g := range v.grants {
-		out = append(out, Held{Key: g.key, Attempt: g.attempt, Body: g.body, Left: g.expires.Sub(now), Answer: g.answer})
+		out = append(out, HeldKey{Key: g.key, Attempt: g.attempt, Body: g.body, Left: g.expires.Sub(now), Answer: g.answer})
 	}
 	return out
 }
 
 // Copied takes a part of the grants of another member and makes the voter warm
 // once a majority of the group has sent all of theirs.
-func (v *Voter) Copied(now time.Time, c Copied) {
+func (v *Voter) ApplyCopy(now time.Time, c CopyReply) {
 	if v.warm || c.For != v.incarnation || !v.member(c.Voter) || v.copied[c.Voter] {
 		return
 	}
@@ -214,7 +214,7 @@
 // merge takes one grant of another member. If two members hold different
 // attempts, this voter's forgotten grant may have given either of them the
 // majority, so the key is blocked unless an answer shows which one ran.
-func (v *Voter) merge(now time.Time, h Held) {
+func (v *Voter) merge(now time.Time, h HeldKey) {
 	g := v.grants[h.Key]
 	if g == nil {
 		g = &grant{key: h.Key, attempt: h.Attempt, body: h.Body, expires: now.Add(h.Left), answer: h.Answer}
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -208,7 +208,7 @@
 		return nil, fault.New(fault.KeyRequired, fault.StepClaim, "", "send an Idempotency-Key with this call")
 	}
 	site, members := group(svc, tree.Fleet.Customers[c.Grant.Customer].Home)
-	ask := claim.Ask{
+	ask := claim.VoteRequest{
 		Key: c.Grant.Customer + "/" + c.Service + "/" + c.Key, Attempt: id, Body: bodyHash(c),
 		Lifetime: svc.ClaimLifetimeOrDefault(), Group: c.Service + "@" + site,
 	}
@@ -229,18 +229,18 @@
 }
 
 // notWon tells the caller why its attempt sent nothing.
-func (e *Entry) notWon(v claim.Verdict, p *claim.Proposer, ask claim.Ask, members []string) (*claim.Answer, error) {
-	if v != claim.Misused {
+func (e *Entry) notWon(v claim.Verdict, p *claim.Proposer, ask claim.VoteRequest, members []string) (*claim.Answer, error) {
+	if v != claim.KeyReused {
 		e.giveUp(ask, members)
 	}
 	switch v {
 	case claim.Answered:
 		return p.Answer(), nil
-	case claim.Misused:
+	case claim.KeyReused:
 		return nil, fault.New(fault.KeyReused, fault.StepClaim, ask.Group, "the key was used for another call")
-	case claim.Taken:
+	case claim.HeldByOther:
 		return nil, fault.New(fault.OutcomeUnknown, fault.StepClaim, ask.Group, "another attempt with this key may have run")
-	case claim.Unreached:
+	case claim.Unreachable:
 		return nil, fault.New(fault.ClaimUnreached, fault.StepClaim, ask.Group, "this attempt sent nothing; an earlier one with this key may have run")
 	}
 	return nil, fault.New(fault.ClaimNotWon, fault.StepClaim, ask.Group, "no majority for the claim")
@@ -248,7 +248,7 @@
 
 // runOnce sends a call whose claim is won. Only a send that surely did not
 // reach the service goes on to another server.
-func (e *Entry) runOnce(ctx context.Context, id string, c ServiceCall, svc settings.Service, ask claim.Ask, members []string) (*claim.Answer, error) {
+func (e *Entry) runOnce(ctx context.Context, id string, c ServiceCall, svc settings.Service, ask claim.VoteRequest, members []string) (*claim.Answer, error) {
 	last := "no server of the service is in reach"
 	for try, name := range e.servers(c.Service) {
 		if try >= callTries {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -35,7 +35,7 @@
 }
 
 // claim asks the members of a group for their votes.
-func (e *Entry) claim(ctx context.Context, ask claim.Ask, members []string) (claim.Verdict, *claim.Proposer) {
+func (e *Entry) claim(ctx context.Context, ask claim.VoteRequest, members []string) (claim.Verdict, *claim.Proposer) {
 	p := claim.NewProposer(ask.Attempt, len(members))
 	w := &claimWait{proposer: p, verdict: make(chan claim.Verdict, 1)}
 	e.mu.Lock()
@@ -64,7 +64,7 @@
 	if w == nil {
 		return
 	}
-	if verdict := w.proposer.Vote(*v); verdict != claim.Waiting {
+	if verdict := w.proposer.AddVote(*v); verdict != claim.Pending {
 		select {
 		case w.verdict <- verdict:
 		default:
@@ -81,7 +81,7 @@
 }
 
 // giveUp frees the grants of an attempt that sent nothing.
-func (e *Entry) giveUp(ask claim.Ask, members []string) {
+func (e *Entry) giveUp(ask claim.VoteRequest, members []string) {
 	e.tellGroup(&claim.Record{Key: ask.Key, Attempt: ask.Attempt}, members)
 }
 
--- a/entry/once.go
+++ b/entry/once.go
@@ -15,7 +15,7 @@
 
 // onceClaim is the claim that a model request of a once class holds.
 type onceClaim struct {
-	ask     claim.Ask
+	ask     claim.VoteRequest
 	members []string
 	keep    time.Duration
 	// settled tells that the outcome has been recorded.
@@ -58,7 +58,7 @@
 	}
 	svc := tree.Fleet.Services[class.ClaimGroup]
 	site, members := group(svc, tree.Fleet.Customers[job.Grant.Customer].Home)
-	c := &onceClaim{members: members, keep: svc.ClaimLifetimeOrDefault(), ask: claim.Ask{
+	c := &onceClaim{members: members, keep: svc.ClaimLifetimeOrDefault(), ask: claim.VoteRequest{
 		Key: job.Grant.Customer + "/model/" + job.Key, Attempt: id, Body: requestHash(job),
 		Lifetime: runLifetime, Group: class.ClaimGroup + "@" + site,
 	}}
@@ -69,7 +69,7 @@
 	case claim.Answered:
 		f, err := replay(id, p.Answer(), job)
 		return nil, f, err
-	case claim.Taken:
+	case claim.HeldByOther:
 		e.giveUp(c.ask, members)
 		return nil, nil, fault.New(fault.InProgress, fault.StepClaim, c.ask.Group, "another attempt with this key runs, or its entry has just died")
 	}
--- a/wire/message.go
+++ b/wire/message.go
@@ -35,13 +35,13 @@
 	Settings *Settings `cbor:"12,keyasint,omitempty"`
 	Pull     *Pull     `cbor:"13,keyasint,omitempty"`
 
-	Grant   *claim.Ask    `cbor:"14,keyasint,omitempty"`
-	Granted *claim.Vote   `cbor:"15,keyasint,omitempty"`
-	Record  *claim.Record `cbor:"16,keyasint,omitempty"`
-	Copy    *claim.Copy   `cbor:"17,keyasint,omitempty"`
-	Copied  *claim.Copied `cbor:"18,keyasint,omitempty"`
-	Call    *Call         `cbor:"19,keyasint,omitempty"`
-	Answer  *Answer       `cbor:"20,keyasint,omitempty"`
+	Grant   *claim.VoteRequest `cbor:"14,keyasint,omitempty"`
+	Granted *claim.Vote        `cbor:"15,keyasint,omitempty"`
+	Record  *claim.Record      `cbor:"16,keyasint,omitempty"`
+	Copy    *claim.CopyRequest `cbor:"17,keyasint,omitempty"`
+	Copied  *claim.CopyReply   `cbor:"18,keyasint,omitempty"`
+	Call    *Call              `cbor:"19,keyasint,omitempty"`
+	Answer  *Answer            `cbor:"20,keyasint,omitempty"`
 
 	Order   *order.Order      `cbor:"21,keyasint,omitempty"`
 	Ordered *order.Result     `cbor:"22,keyasint,omitempty"`
