--- a/agent/agent.go
+++ b/agent/agent.go
@@ -224,8 +224,8 @@
 
 // note adds a step to the record of a request. Callers hold the lock.
 func (a *Agent) note(id lease.ID, kind decision.Kind, detail string) {
-	a.records.Open(id.Req).Add(decision.Step{
-		At: clock.Day(), Kind: kind, Attempt: id.Attempt, Where: a.cfg.Name, Server: a.cfg.Name, Detail: detail,
+	a.records.GetOrCreate(id.Req).Add(decision.Step{
+		At: clock.Day(), Kind: kind, Attempt: id.Attempt, Process: a.cfg.Name, Server: a.cfg.Name, Detail: detail,
 	})
 }
 
--- a/agent/work.go
+++ b/agent/work.go
@@ -52,7 +52,7 @@
 		a.jobs[m.ID] = &job{owner: owner, priority: m.Priority, tokens: m.Tokens}
 		a.note(m.ID, decision.Reserved, fmt.Sprintf("for %s, %d of %d slots in use", l.Peer.Name, a.work.Used(), a.work.Slots()))
 	} else {
-		a.note(m.ID, decision.NotGiven, string(reason))
+		a.note(m.ID, decision.ReservationRefused, string(reason))
 	}
 	answer := &wire.Reserved{ID: m.ID, OK: reason == lease.None, Reason: string(reason), Load: a.load(owner)}
 	_ = l.Send(&wire.Message{Reserved: answer})
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -17,25 +17,25 @@
 
 // The kinds of steps.
 const (
-	Arrived    Kind = "arrived"
-	Deferred   Kind = "deferred"
-	Chosen     Kind = "chosen"
-	Refused    Kind = "refused"
-	Reserved   Kind = "reserved"
-	NotGiven   Kind = "reservation refused"
-	Prefilling Kind = "prefill started"
-	Prefilled  Kind = "prefill done"
-	Transfer   Kind = "transfer started"
-	Imported   Kind = "transfer done"
-	FirstToken Kind = "first token"
-	Done       Kind = "done"
-	Failure    Kind = "failure"
-	Retried    Kind = "retried"
-	Cancelled  Kind = "cancelled"
-	Confirmed  Kind = "cancel confirmed"
-	Expired    Kind = "lease expired"
-	Claimed    Kind = "claim"
-	Called     Kind = "call"
+	Arrived            Kind = "arrived"
+	Deferred           Kind = "deferred"
+	Chosen             Kind = "chosen"
+	Refused            Kind = "refused"
+	Reserved           Kind = "reserved"
+	ReservationRefused Kind = "reservation refused"
+	Prefilling         Kind = "prefill started"
+	Prefilled          Kind = "prefill done"
+	Transfer           Kind = "transfer started"
+	Imported           Kind = "transfer done"
+	FirstToken         Kind = "first token"
+	Done               Kind = "done"
+	Failure            Kind = "failure"
+	Retried            Kind = "retried"
+	Cancelled          Kind = "cancelled"
+	Confirmed          Kind = "cancel confirmed"
+	Expired            Kind = "lease expired"
+	Claimed            Kind = "claim"
+	Called             Kind = "call"
 )
 
 // Step is one thing that was decided or seen.
@@ -44,7 +44,7 @@
 	Kind    Kind      `json:"kind"`
 	Attempt uint32    `json:"attempt,omitempty"`
 	// Where is the process that wrote the step.
-	Where string `json:"where,omitempty"`
+	Process string `json:"where,omitempty"`
 	// Server is the backend server that it is about.
 	Server string `json:"server,omitempty"`
 	// Detail says more, in reports.
@@ -84,7 +84,7 @@
 	Model    string `json:"model,omitempty"`
 	Steps    []Step `json:"steps"`
 	// Left counts the steps that found no room.
-	Left int `json:"left_out,omitempty"`
+	Omitted int `json:"left_out,omitempty"`
 }
 
 // maxSteps bounds the steps of one record.
@@ -104,7 +104,7 @@
 
 // Open returns the record of id, a new one if there is none; the oldest record
 // makes room.
-func (r *Ring) Open(id string) *Record {
+func (r *Ring) GetOrCreate(id string) *Record {
 	if rec := r.byID[id]; rec != nil {
 		return rec
 	}
@@ -133,7 +133,7 @@
 // Add appends a step.
 func (r *Record) Add(s Step) {
 	if len(r.Steps) >= maxSteps {
-		r.Left++
+		r.Omitted++
 		return
 	}
 	r.Steps = append(r.Steps, s)
@@ -148,7 +148,7 @@
 			out.ID, out.Customer, out.Class, out.Model = r.ID, r.Customer, r.Class, r.Model
 		}
 		out.Steps = append(out.Steps, r.Steps...)
-		out.Left += r.Left
+		out.Omitted += r.Omitted
 	}
 	sort.SliceStable(out.Steps, func(i, j int) bool { return out.Steps[i].At.Before(out.Steps[j].At) })
 	return out
@@ -162,12 +162,12 @@
 	}
 	for _, s := range r.Steps {
 		at := s.At.Sub(r.Steps[0].At).Round(100 * time.Microsecond)
-		if _, err := fmt.Fprintf(w, "%10s  %-10s %s\n", at, s.Where, s); err != nil {
+		if _, err := fmt.Fprintf(w, "%10s  %-10s %s\n", at, s.Process, s); err != nil {
 			return err
 		}
 	}
-	if r.Left > 0 {
-		if _, err := fmt.Fprintf(w, "and %d more steps that were not kept\n", r.Left); err != nil {
+	if r.Omitted > 0 {
+		if _, err := fmt.Fprintf(w, "and %d more steps that were not kept\n", r.Omitted); err != nil {
 			return err
 		}
 	}
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -77,9 +77,9 @@
 
 // tell adds a step to the record of a plain call. Callers hold the lock.
 func (e *Entry) tell(id string, c ServiceCall, s decision.Step) {
-	rec := e.story.Open(id)
+	rec := e.story.GetOrCreate(id)
 	rec.Customer, rec.Class = c.Grant.Customer, c.Grant.Class
-	s.At, s.Where = clock.Day(), e.cfg.Name
+	s.At, s.Process = clock.Day(), e.cfg.Name
 	rec.Add(s)
 }
 
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -13,7 +13,7 @@
 // customer at this entry.
 func (c *Core) Submit(now time.Time, req Request, openLimit int) []Effect {
 	r := &request{Request: req, arrived: now, deadline: now.Add(req.TTFT), pos: -1}
-	r.rec = c.records.Open(req.ID)
+	r.rec = c.records.GetOrCreate(req.ID)
 	r.rec.Customer, r.rec.Class, r.rec.Model = req.Customer, req.Class, req.Model
 	c.note(now, r, decision.Step{Kind: decision.Arrived,
 		Detail: fmt.Sprintf("%d prompt tokens, priority %d, first token due in %s", req.Tokens, req.Priority, req.TTFT)})
--- a/router/core.go
+++ b/router/core.go
@@ -167,7 +167,7 @@
 func (c *Core) note(now time.Time, r *request, s decision.Step) {
 	s.At = now
 	s.Attempt = r.attempt
-	s.Where = c.opts.Name
+	s.Process = c.opts.Name
 	r.rec.Add(s)
 }
 
--- a/router/progress.go
+++ b/router/progress.go
@@ -56,7 +56,7 @@
 func (c *Core) notGiven(now time.Time, r *request, h *half, reason string) {
 	h.refused = true
 	r.refusals++
-	c.note(now, r, decision.Step{Kind: decision.NotGiven, Server: h.server.Name, Detail: reason})
+	c.note(now, r, decision.Step{Kind: decision.ReservationRefused, Server: h.server.Name, Detail: reason})
 	switch r.phase {
 	case seeking:
 		c.freeDecode(r, false)
