--- a/caller/answer.go
+++ b/caller/answer.go
@@ -93,7 +93,7 @@
 // gather reads an answer to the end of its flow, which for a request that may be made once
 // comes only when its outcome is recorded: a caller that has the answer and asks again must
 // find it.
-func gather(next func() (stream.Part, error)) (text, finish string, tokens int, err error) {
+func gather(next func() (stream.Chunk, error)) (text, finish string, tokens int, err error) {
 	var all strings.Builder
 	for {
 		p, err := next()
@@ -112,7 +112,7 @@
 
 // whole gathers the answer and writes it at once.
 func (a *answer) whole() error {
-	full, finish, tokens, err := gather(func() (stream.Part, error) { return a.flow.Next(a.c.Request().Context()) })
+	full, finish, tokens, err := gather(func() (stream.Chunk, error) { return a.flow.Next(a.c.Request().Context()) })
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	a.c.Response().WriteHeader(http.StatusOK)
 }
 
-func (a *answer) part(p stream.Part) error {
+func (a *answer) part(p stream.Chunk) error {
 	out := a.shell("text_completion")
 	ch := choice{}
 	if a.chat {
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -173,7 +173,7 @@
 	if f == nil {
 		return
 	}
-	parts, err := f.asm.Accept(c.Attempt, stream.Part{Index: c.Index, Text: c.Text, Finish: c.Finish})
+	parts, err := f.asm.Accept(c.Attempt, stream.Chunk{Index: c.Index, Text: c.Text, Finish: c.Finish})
 	if err != nil {
 		e.perform(now, e.core.Failed(now, f.decodeAt, c.ID, fault.StepStream, err.Error(), true))
 		return
@@ -207,7 +207,7 @@
 	switch x := eff.(type) {
 	case router.SwitchAttempt:
 		if f := e.flows[x.ID.Req]; f != nil {
-			f.asm.Attempt(x.ID.Attempt)
+			f.asm.StartAttempt(x.ID.Attempt)
 		}
 	case router.Reserve:
 		m := &wire.Reserve{ID: x.ID, Model: x.Model, Priority: x.Priority, Tokens: x.Tokens, Hold: x.Hold, Keep: x.Keep}
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -41,7 +41,7 @@
 	key      string
 	req      engine.Request
 	asm      stream.Assembler
-	parts    chan stream.Part
+	parts    chan stream.Chunk
 	once     sync.Once
 	err      error // set before parts is closed
 	decodeAt string
@@ -67,18 +67,18 @@
 
 // Next returns the next part of the answer; io.EOF after the last one, or the
 // error that ended the request.
-func (f *Flow) Next(ctx context.Context) (stream.Part, error) {
+func (f *Flow) Next(ctx context.Context) (stream.Chunk, error) {
 	select {
 	case p, ok := <-f.parts:
 		if ok {
 			return p, nil
 		}
 		if f.err != nil {
-			return stream.Part{}, f.err
+			return stream.Chunk{}, f.err
 		}
-		return stream.Part{}, io.EOF
+		return stream.Chunk{}, io.EOF
 	case <-ctx.Done():
-		return stream.Part{}, ctx.Err()
+		return stream.Chunk{}, ctx.Err()
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 // push queues a part; it reports false if the caller does not read.
-func (f *Flow) push(p stream.Part) bool {
+func (f *Flow) push(p stream.Chunk) bool {
 	select {
 	case f.parts <- p:
 		return true
@@ -111,7 +111,7 @@
 }
 
 // tokens keeps the times that the targets are measured by.
-func (f *Flow) tokens(now time.Time, p stream.Part) {
+func (f *Flow) tokens(now time.Time, p stream.Chunk) {
 	if p.Finish != "" {
 		return
 	}
@@ -191,7 +191,7 @@
 
 func (e *Entry) newFlow(job Job, req router.Request) *Flow {
 	f := &Flow{
-		ID: req.ID, entry: e, req: job.Request, parts: make(chan stream.Part, bufferedParts),
+		ID: req.ID, entry: e, req: job.Request, parts: make(chan stream.Chunk, bufferedParts),
 		class: req.Class, arrived: clock.VM.Now(), prompt: req.Tokens,
 		target: e.store.Tree().Fleet.Classes[req.Class],
 	}
--- a/entry/once.go
+++ b/entry/once.go
@@ -90,9 +90,9 @@
 	if err := json.Unmarshal(a.Body, &r); err != nil {
 		return nil, fault.New(fault.OutcomeUnknown, fault.StepClaim, "", "the answer was too long to be kept; it was given once")
 	}
-	f := &Flow{ID: id, parts: make(chan stream.Part, 2), prompt: Tokens(job.Request.Text())}
-	f.parts <- stream.Part{Text: r.Text}
-	f.parts <- stream.Part{Index: r.Tokens, Finish: r.Finish}
+	f := &Flow{ID: id, parts: make(chan stream.Chunk, 2), prompt: Tokens(job.Request.Text())}
+	f.parts <- stream.Chunk{Text: r.Text}
+	f.parts <- stream.Chunk{Index: r.Tokens, Finish: r.Finish}
 	close(f.parts)
 	return f, nil
 }
--- a/policybench/entry.go
+++ b/policybench/entry.go
@@ -61,7 +61,7 @@
 	b := e.b
 	switch x := eff.(type) {
 	case router.SwitchAttempt:
-		b.reqs[x.ID.Req].asm.Attempt(x.ID.Attempt)
+		b.reqs[x.ID.Req].asm.StartAttempt(x.ID.Attempt)
 	case router.Reserve:
 		b.toServer(x.Server, func(s *server) { s.reserve(e, x) })
 	case router.StartPrefill:
@@ -88,7 +88,7 @@
 	if !e.alive || r.outcome != "" {
 		return
 	}
-	parts, err := r.asm.Accept(j.id.Attempt, stream.Part{Index: index})
+	parts, err := r.asm.Accept(j.id.Attempt, stream.Chunk{Index: index})
 	if err != nil {
 		e.b.broken("%s: %v", r.req.ID, err)
 	}
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -12,13 +12,13 @@
 )
 
 // MaxEarly bounds the chunks that wait for an earlier one.
-const MaxEarly = 256
+const MaxBuffered = 256
 
 // ErrGap tells that too many chunks came before the next one.
 var ErrGap = errors.New("stream: too many chunks wait for a missing one")
 
 // Part is one token, or the end of the answer.
-type Part struct {
+type Chunk struct {
 	Index int
 	Text  string
 	// Finish is why the answer ended; empty while it goes on.
@@ -29,7 +29,7 @@
 type Assembler struct {
 	attempt uint32
 	next    int
-	early   map[int]Part
+	early   map[int]Chunk
 	text    strings.Builder
 	done    bool
 	dropped int
@@ -37,7 +37,7 @@
 
 // Attempt starts a newer attempt: chunks of older ones are dropped from now
 // on. It returns the index at which the attempt has to go on.
-func (a *Assembler) Attempt(n uint32) int {
+func (a *Assembler) StartAttempt(n uint32) int {
 	if n > a.attempt {
 		a.attempt = n
 		a.early = nil
@@ -46,7 +46,7 @@
 }
 
 // Accept takes a chunk and returns the parts that the caller gets now.
-func (a *Assembler) Accept(attempt uint32, p Part) ([]Part, error) {
+func (a *Assembler) Accept(attempt uint32, p Chunk) ([]Chunk, error) {
 	if attempt != a.attempt || a.done || p.Index < a.next {
 		a.dropped++
 		return nil, nil
@@ -54,7 +54,7 @@
 	if p.Index > a.next {
 		return nil, a.keep(p)
 	}
-	out := []Part{p}
+	out := []Chunk{p}
 	a.take(p)
 	for !a.done {
 		q, ok := a.early[a.next]
@@ -68,18 +68,18 @@
 	return out, nil
 }
 
-func (a *Assembler) keep(p Part) error {
+func (a *Assembler) keep(p Chunk) error {
 	if a.early == nil {
-		a.early = map[int]Part{}
+		a.early = map[int]Chunk{}
 	}
-	if len(a.early) >= MaxEarly {
+	if len(a.early) >= MaxBuffered {
 		return ErrGap
 	}
 	a.early[p.Index] = p
 	return nil
 }
 
-func (a *Assembler) take(p Part) {
+func (a *Assembler) take(p Chunk) {
 	if p.Finish != "" {
 		a.done = true
 		return
