--- a/router/core.go
+++ b/router/core.go
@@ -32,46 +32,46 @@
 }
 
 // half is one server of an attempt.
-type half struct {
+type reservation struct {
 	server *placement.Server
 	// held tells that the entry counts a slot at the server as its own.
 	held bool
 	// given tells that the agent has granted the reservation.
-	given bool
+	granted bool
 	// refused tells that the agent has not.
-	refused bool
+	rejected bool
 }
 
 // request is one request in the router's hands.
 type request struct {
 	Request
-	arrived  time.Time
-	deadline time.Time
-	phase    phase
-	attempt  uint32
-	p, d     half
+	arrived         time.Time
+	deadline        time.Time
+	phase           phase
+	attempt         uint32
+	prefill, decode reservation
 	// lead is when the decode slot of a long prefill is to be reserved; zero if
 	// it is reserved from the start.
-	lead time.Time
+	reserveDecodeAt time.Time
 	// work is the prefill work of this attempt in tokens.
-	work    int
-	kv      engine.KV
-	kvID    lease.ID
-	kvUntil time.Time
+	prefillTokens int
+	kv            engine.KV
+	kvAttempt     lease.ID
+	kvExpires     time.Time
 	// ran tells that an engine was asked to work.
 	ran bool
 	// sofar counts the tokens that the caller has.
-	sofar      int
-	firstAt    time.Time
-	avoid      string
-	refusals   int
-	rec        *decision.Record
-	due        time.Time
-	limit      time.Time // when a running prefill counts as stalled
-	pos        int
-	lastChunk  time.Time
-	transferAt time.Time
-	moving     bool // a transfer is counted on the links
+	generated    int
+	firstTokenAt time.Time
+	avoid        string
+	refusals     int
+	record       *decision.Record
+	timerAt      time.Time
+	stalledAt    time.Time // when a running prefill counts as stalled
+	timerIndex   int
+	lastTokenAt  time.Time
+	transferAt   time.Time
+	transferring bool // a transfer is counted on the links
 }
 
 // id names the present attempt.
@@ -80,40 +80,40 @@
 // query returns what the next choice has to serve.
 func (r *request) query() placement.Query {
 	return placement.Query{
-		Model: r.Model, Priority: r.Priority, Tokens: r.Tokens + r.sofar, Prefixes: r.Prefixes,
+		Model: r.Model, Priority: r.Priority, Tokens: r.Tokens + r.generated, Prefixes: r.Prefixes,
 		KVBytes: r.KVBytes, TBT: r.TBT, Avoid: r.avoid,
 	}
 }
 
 // Core is the state of the router. It is not safe for concurrent use.
 type Core struct {
-	opts     Options
-	view     *placement.View
-	queues   map[string]*admission.Queue
-	waiting  int
-	reqs     map[string]*request
-	timers   pq.Queue[*request]
-	seekers  map[string]*request
-	budget   *retry.Budget
-	open     map[string]int
-	rates    map[rateKey]*drain
-	records  *decision.Ring
-	stats    Stats
-	draining bool
-	out      []Effect
-	lastShed time.Time
+	opts           Options
+	view           *placement.View
+	queues         map[string]*admission.Queue
+	waiting        int
+	reqs           map[string]*request
+	timers         pq.Queue[*request]
+	awaitingDecode map[string]*request
+	budget         *retry.Budget
+	openByCustomer map[string]int
+	serviceRates   map[rateKey]*serviceRate
+	records        *decision.Ring
+	stats          Stats
+	draining       bool
+	effects        []Effect
+	lastShed       time.Time
 }
 
 // New returns a router over a view of the servers.
 func New(view *placement.View, o Options) *Core {
 	c := &Core{
 		opts: o, view: view, queues: map[string]*admission.Queue{}, reqs: map[string]*request{},
-		seekers: map[string]*request{}, budget: retry.NewBudget(o.RetryPercent), open: map[string]int{},
-		rates: map[rateKey]*drain{}, records: decision.NewRing(max(o.MaxRecords, 1)),
+		awaitingDecode: map[string]*request{}, budget: retry.NewBudget(o.RetryPercent), openByCustomer: map[string]int{},
+		serviceRates: map[rateKey]*serviceRate{}, records: decision.NewRing(max(o.MaxRecords, 1)),
 		stats: Stats{WastedTokens: map[WasteCause]int{}},
 	}
-	c.timers.Less = func(a, b *request) bool { return a.due.Before(b.due) }
-	c.timers.Moved = func(r *request, place int) { r.pos = place }
+	c.timers.Less = func(a, b *request) bool { return a.timerAt.Before(b.timerAt) }
+	c.timers.Moved = func(r *request, index int) { r.timerIndex = index }
 	return c
 }
 
@@ -141,10 +141,10 @@
 func (c *Core) Waiting() int { return c.waiting }
 
 // OpenOf counts the open requests of a customer.
-func (c *Core) OpenOf(customer string) int { return c.open[customer] }
+func (c *Core) OpenOf(customer string) int { return c.openByCustomer[customer] }
 
 // OpenByCustomer counts the open requests of each customer.
-func (c *Core) OpenByCustomer() map[string]int { return maps.Clone(c.open) }
+func (c *Core) OpenByCustomer() map[string]int { return maps.Clone(c.openByCustomer) }
 
 // Explain returns the record of a request.
 func (c *Core) Explain(id string) (decision.Record, bool) { return c.records.Find(id) }
@@ -155,20 +155,20 @@
 // TakeRetry takes one retry out of the budget, for a plain call.
 func (c *Core) TakeRetry() bool { return c.budget.Take() }
 
-func (c *Core) emit(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // take returns the effects gathered by a call.
-func (c *Core) take() []Effect {
-	out := c.out
-	c.out = nil
+func (c *Core) takeEffects() []Effect {
+	out := c.effects
+	c.effects = nil
 	return out
 }
 
-func (c *Core) note(now time.Time, r *request, s decision.Step) {
+func (c *Core) addStep(now time.Time, r *request, s decision.Step) {
 	s.At = now
 	s.Attempt = r.attempt
 	s.Process = c.opts.Name
-	r.rec.Add(s)
+	r.record.Add(s)
 }
 
 func (c *Core) queue(model string) *admission.Queue {
@@ -190,17 +190,17 @@
 }
 
 // setDue sets the moment at which Tick looks at the request again.
-func (c *Core) setDue(r *request, at time.Time) {
-	r.due = at
-	if r.pos < 0 {
+func (c *Core) setTimer(r *request, at time.Time) {
+	r.timerAt = at
+	if r.timerIndex < 0 {
 		c.timers.Push(r)
 		return
 	}
-	c.timers.Fix(r.pos)
+	c.timers.Fix(r.timerIndex)
 }
 
-func (c *Core) clearDue(r *request) {
-	if r.pos >= 0 {
-		c.timers.Remove(r.pos)
+func (c *Core) stopTimer(r *request) {
+	if r.timerIndex >= 0 {
+		c.timers.Remove(r.timerIndex)
 	}
 }
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -12,11 +12,11 @@
 
 const (
 	// holdSpare is added to the time for which a decode slot is reserved.
-	holdSpare = 2 * time.Second
+	reservationMargin = 2 * time.Second
 	// lateFactor bounds, in targets, how long a request that ran is tried.
-	lateFactor = 4
+	retryTTFTFactor = 4
 	// minLate is the least time for which such a request is tried.
-	minLate = 5 * time.Second
+	minRetryTime = 5 * time.Second
 	// maxRefusals bounds the reservations that agents may refuse in a row
 	// before the request waits for the next tick.
 	maxRefusals = 8
@@ -26,17 +26,17 @@
 func (c *Core) schedule(now time.Time, model string) {
 	q := c.queue(model)
 	for level := 0; ; {
-		it := q.Peek(level)
-		if it == nil {
+		item := q.Peek(level)
+		if item == nil {
 			return
 		}
-		r := c.reqs[it.ID]
+		r := c.reqs[item.ID]
 		if r.refusals > maxRefusals {
-			level = it.Priority + 1
+			level = item.Priority + 1
 			continue
 		}
 		if !c.start(now, q, r) {
-			level = it.Priority + 1
+			level = item.Priority + 1
 		}
 	}
 }
@@ -46,47 +46,47 @@
 func (c *Core) start(now time.Time, q *admission.Queue, r *request) bool {
 	choice := c.opts.Policy.Choose(c.view, now, r.query())
 	if choice.Prefill == nil || (choice.Decode == nil && c.opts.Policy.ReserveDecodeFirst) {
-		return c.hopeless(now, q, r)
+		return c.refuseIfTooLate(now, q, r)
 	}
-	if c.late(now, r, choice.FirstTokenTime) {
-		c.dequeue(q, r)
+	if c.missesDeadline(now, r, choice.FirstTokenTime) {
+		c.removeQueued(q, r)
 		c.refuse(now, r, fault.TargetOutOfReach,
-			fmt.Sprintf("first token in %s at the soonest", choice.FirstTokenTime.Round(time.Millisecond)), c.comeBack(r))
+			fmt.Sprintf("first token in %s at the soonest", choice.FirstTokenTime.Round(time.Millisecond)), c.retryAfter(r))
 		return true
 	}
 	q.Dequeue(r.ID)
 	c.waiting--
-	c.drainRate(r.Model, r.Priority).take(r.Tokens)
+	c.serviceRateOf(r.Model, r.Priority).add(r.Tokens)
 	c.reserve(now, r, choice)
 	return true
 }
 
 // late tells whether a request that has not run would miss its target.
-func (c *Core) late(now time.Time, r *request, need time.Duration) bool {
-	return c.opts.Policy.EnforceDeadlines && !r.ran && now.Add(need).After(r.deadline)
+func (c *Core) missesDeadline(now time.Time, r *request, firstToken time.Duration) bool {
+	return c.opts.Policy.EnforceDeadlines && !r.ran && now.Add(firstToken).After(r.deadline)
 }
 
 // hopeless refuses a request whose target is out of reach even if a server
 // were idle now; it reports whether it did.
-func (c *Core) hopeless(now time.Time, q *admission.Queue, r *request) bool {
-	need := c.view.MinFirstTokenTime(now, r.query())
-	if !c.late(now, r, need) {
+func (c *Core) refuseIfTooLate(now time.Time, q *admission.Queue, r *request) bool {
+	firstToken := c.view.MinFirstTokenTime(now, r.query())
+	if !c.missesDeadline(now, r, firstToken) {
 		return false
 	}
-	c.dequeue(q, r)
-	c.refuse(now, r, fault.TargetOutOfReach, "no server is free in time", c.comeBack(r))
+	c.removeQueued(q, r)
+	c.refuse(now, r, fault.TargetOutOfReach, "no server is free in time", c.retryAfter(r))
 	return true
 }
 
-func (c *Core) dequeue(q *admission.Queue, r *request) {
+func (c *Core) removeQueued(q *admission.Queue, r *request) {
 	if q.Remove(r.ID) != nil {
 		c.waiting--
 	}
 }
 
 // comeBack estimates when the work that waits now is done.
-func (c *Core) comeBack(r *request) time.Duration {
-	rate := c.drainRate(r.Model, r.Priority).mean
+func (c *Core) retryAfter(r *request) time.Duration {
+	rate := c.serviceRateOf(r.Model, r.Priority).mean
 	if rate <= 0 {
 		return time.Second
 	}
@@ -98,24 +98,24 @@
 func (c *Core) reserve(now time.Time, r *request, choice placement.Choice) {
 	r.attempt++
 	r.phase = reserving
-	r.work = choice.Work
-	r.p = half{server: choice.Prefill, held: true}
-	r.d = half{}
-	c.view.PrefillReserved(r.p.server, r.Priority, r.work)
-	detail := fmt.Sprintf("prefill at %s, first token expected in %s", r.p.server.Name, choice.FirstTokenTime.Round(time.Millisecond))
-	c.note(now, r, decision.Step{Kind: decision.Chosen, Detail: detail, Candidates: choice.Considered})
+	r.prefillTokens = choice.Work
+	r.prefill = reservation{server: choice.Prefill, held: true}
+	r.decode = reservation{}
+	c.view.PrefillReserved(r.prefill.server, r.Priority, r.prefillTokens)
+	detail := fmt.Sprintf("prefill at %s, first token expected in %s", r.prefill.server.Name, choice.FirstTokenTime.Round(time.Millisecond))
+	c.addStep(now, r, decision.Step{Kind: decision.Chosen, Detail: detail, Candidates: choice.Considered})
 	c.emit(SwitchAttempt{ID: r.id()})
 	c.emit(Reserve{
-		ID: r.id(), Server: r.p.server.Name, Role: Prefill, Model: r.Model, Priority: r.Priority,
-		Tokens: r.work, Hold: choice.FirstTokenTime + holdSpare, Keep: r.Keep,
+		ID: r.id(), Server: r.prefill.server.Name, Role: Prefill, Model: r.Model, Priority: r.Priority,
+		Tokens: r.prefillTokens, Hold: choice.FirstTokenTime + reservationMargin, Keep: r.Keep,
 	})
-	r.lead = time.Time{}
+	r.reserveDecodeAt = time.Time{}
 	if c.opts.Policy.ReserveDecodeFirst && choice.FirstTokenTime < longPrefill {
-		c.holdDecode(r, choice.Decode, r.Priority, choice.FirstTokenTime+holdSpare)
+		c.reserveDecode(r, choice.Decode, r.Priority, choice.FirstTokenTime+reservationMargin)
 	} else if c.opts.Policy.ReserveDecodeFirst {
-		r.lead = now.Add(choice.PrefillTime - reserveLead)
+		r.reserveDecodeAt = now.Add(choice.PrefillTime - reserveLead)
 	}
-	c.setDue(r, now.Add(reserveTimeout))
+	c.setTimer(r, now.Add(reserveTimeout))
 }
 
 const (
@@ -132,33 +132,33 @@
 
 // holdDecode reserves a decode slot. The priority decides how many slots must
 // stay free for others.
-func (c *Core) holdDecode(r *request, s *placement.Server, priority int, hold time.Duration) {
-	r.d = half{server: s, held: true}
+func (c *Core) reserveDecode(r *request, s *placement.Server, priority int, hold time.Duration) {
+	r.decode = reservation{server: s, held: true}
 	c.view.SlotReserved(s)
 	c.emit(Reserve{ID: r.id(), Server: s.Name, Role: Decode, Model: r.Model, Priority: priority, Hold: hold, Keep: r.Keep})
 }
 
 // freePrefill gives up the prefill half. If tell is set, the agent is told.
-func (c *Core) freePrefill(r *request, tell bool) {
-	if !r.p.held {
+func (c *Core) releasePrefill(r *request, notify bool) {
+	if !r.prefill.held {
 		return
 	}
-	r.p.held = false
-	c.view.PrefillReleased(r.p.server, r.Priority, r.work)
-	if tell {
-		c.emit(Release{ID: r.id(), Server: r.p.server.Name})
+	r.prefill.held = false
+	c.view.PrefillReleased(r.prefill.server, r.Priority, r.prefillTokens)
+	if notify {
+		c.emit(Release{ID: r.id(), Server: r.prefill.server.Name})
 	}
 }
 
 // freeDecode gives up the decode half.
-func (c *Core) freeDecode(r *request, tell bool) {
-	if !r.d.held {
+func (c *Core) releaseDecode(r *request, notify bool) {
+	if !r.decode.held {
 		return
 	}
-	c.endMove(r)
-	r.d.held = false
-	c.view.SlotReleased(r.d.server)
-	if tell {
-		c.emit(Release{ID: r.id(), Server: r.d.server.Name})
+	c.endTransfer(r)
+	r.decode.held = false
+	c.view.SlotReleased(r.decode.server)
+	if notify {
+		c.emit(Release{ID: r.id(), Server: r.decode.server.Name})
 	}
 }
--- a/router/tick.go
+++ b/router/tick.go
@@ -16,27 +16,27 @@
 
 // shedEvery is how often the queues are looked through for requests that
 // can't meet their target.
-const shedEvery = 50 * time.Millisecond
+const shedInterval = 50 * time.Millisecond
 
 // Tick does what is due: stalled work, requests without hope, waiting ones.
 func (c *Core) Tick(now time.Time) []Effect {
-	for c.timers.Len() > 0 && !c.timers.First().due.After(now) {
+	for c.timers.Len() > 0 && !c.timers.First().timerAt.After(now) {
 		c.timeout(now, c.timers.First())
 	}
-	if now.Sub(c.lastShed) >= shedEvery {
+	if now.Sub(c.lastShed) >= shedInterval {
 		c.lastShed = now
 		c.shed(now)
 	}
-	c.wakeSeekers(now)
+	c.retryDecodeSearch(now)
 	c.scheduleAll(now)
-	return c.take()
+	return c.takeEffects()
 }
 
 // Report takes a load report of a server.
 func (c *Core) Report(now time.Time, server string, load placement.Load) []Effect {
 	c.view.Report(server, load)
 	c.scheduleAll(now)
-	return c.take()
+	return c.takeEffects()
 }
 
 func (c *Core) scheduleAll(now time.Time) {
@@ -44,57 +44,57 @@
 		return
 	}
 	for _, model := range sortedKeys(c.queues) {
-		c.forgive(model)
+		c.resetRefusals(model)
 		c.schedule(now, model)
 	}
 }
 
 // forgive lets requests that agents refused too often try again.
-func (c *Core) forgive(model string) {
+func (c *Core) resetRefusals(model string) {
 	for level := 0; level < placement.Priorities; level++ {
-		if it := c.queue(model).Peek(level); it != nil {
-			c.reqs[it.ID].refusals = 0
+		if item := c.queue(model).Peek(level); item != nil {
+			c.reqs[item.ID].refusals = 0
 		}
 	}
 }
 
 // timeout handles a request whose present phase takes too long.
 func (c *Core) timeout(now time.Time, r *request) {
-	c.clearDue(r)
+	c.stopTimer(r)
 	switch r.phase {
 	case reserving:
-		c.slowReservation(now, r)
+		c.reservationTimedOut(now, r)
 	case seeking:
-		c.failed(now, r, r.d.server.Name, fault.StepReserve, "no answer to the reservation", true)
+		c.failed(now, r, r.decode.server.Name, fault.StepReserve, "no answer to the reservation", true)
 	case prefilling:
-		if !r.lead.IsZero() && now.Before(r.limit) {
-			c.reserveLate(now, r)
+		if !r.reserveDecodeAt.IsZero() && now.Before(r.stalledAt) {
+			c.reserveDecodeSlot(now, r)
 			return
 		}
-		c.failed(now, r, r.p.server.Name, fault.StepPrefill, "the prefill stalled", true)
+		c.failed(now, r, r.prefill.server.Name, fault.StepPrefill, "the prefill stalled", true)
 	case importing:
-		c.failed(now, r, r.d.server.Name, fault.StepTransfer, "the transfer stalled", true)
+		c.failed(now, r, r.decode.server.Name, fault.StepTransfer, "the transfer stalled", true)
 	case decoding:
-		c.quietDecode(now, r)
+		c.checkDecodeStall(now, r)
 	}
 }
 
-func (c *Core) slowReservation(now time.Time, r *request) {
-	slow := r.p.server
-	if r.p.given && r.d.server != nil {
-		slow = r.d.server
+func (c *Core) reservationTimedOut(now time.Time, r *request) {
+	slow := r.prefill.server
+	if r.prefill.granted && r.decode.server != nil {
+		slow = r.decode.server
 	}
 	c.failed(now, r, slow.Name, fault.StepReserve, "no answer to the reservation", true)
 }
 
 // quietDecode fails a decode only if no token came since the timer was set.
-func (c *Core) quietDecode(now time.Time, r *request) {
-	end := r.lastChunk.Add(decodeLimit(r))
+func (c *Core) checkDecodeStall(now time.Time, r *request) {
+	end := r.lastTokenAt.Add(decodeLimit(r))
 	if now.Before(end) {
-		c.setDue(r, end)
+		c.setTimer(r, end)
 		return
 	}
-	c.failed(now, r, r.d.server.Name, fault.StepDecode, "no token for "+decodeLimit(r).String(), true)
+	c.failed(now, r, r.decode.server.Name, fault.StepDecode, "no token for "+decodeLimit(r).String(), true)
 }
 
 // shed refuses waiting requests that can't meet their target: those for which
@@ -114,29 +114,31 @@
 
 func (c *Core) shedLevel(now time.Time, model string, q *admission.Queue, level int) {
 	next := q.Peek(level)
-	waits := next != nil && next.Priority == level
-	d := c.drainRate(model, level)
-	d.watch(now, waits)
-	if !waits {
+	waiting := next != nil && next.Priority == level
+	d := c.serviceRateOf(model, level)
+	d.update(now, waiting)
+	if !waiting {
 		return
 	}
-	need := func(it *admission.Item) time.Duration { return c.view.MinFirstTokenTime(now, c.reqs[it.ID].query()) }
-	late := q.RemoveLate(level, now, need)
+	minTime := func(item *admission.Item) time.Duration {
+		return c.view.MinFirstTokenTime(now, c.reqs[item.ID].query())
+	}
+	late := q.RemoveLate(level, now, minTime)
 	if d.mean > 0 {
 		late = append(late, q.Shed(level, now, d.mean)...)
 	}
-	for _, it := range late {
+	for _, item := range late {
 		c.waiting--
-		c.shedOne(now, c.reqs[it.ID])
+		c.refuseShed(now, c.reqs[item.ID])
 	}
 }
 
-func (c *Core) shedOne(now time.Time, r *request) {
+func (c *Core) refuseShed(now time.Time, r *request) {
 	if r.ran {
 		c.fail(now, r, "no server was free for the retry in time")
 		return
 	}
-	c.refuse(now, r, fault.TargetOutOfReach, "the queue can't serve all in time", c.comeBack(r))
+	c.refuse(now, r, fault.TargetOutOfReach, "the queue can't serve all in time", c.retryAfter(r))
 }
 
 // State is one row of the state dump.
@@ -159,11 +161,11 @@
 	out := make([]RequestState, 0, len(c.reqs))
 	for _, r := range c.reqs {
 		s := RequestState{ID: r.ID, Customer: r.Customer, Class: r.Class, Phase: r.phase.String(), Attempt: r.attempt, Age: now.Sub(r.arrived)}
-		if r.p.server != nil {
-			s.Prefill = r.p.server.Name
+		if r.prefill.server != nil {
+			s.Prefill = r.prefill.server.Name
 		}
-		if r.d.server != nil {
-			s.Decode = r.d.server.Name
+		if r.decode.server != nil {
+			s.Decode = r.decode.server.Name
 		}
 		out = append(out, s)
 	}
@@ -182,41 +184,41 @@
 // drain measures how much work a queue gives to the servers in a second. Only
 // time in which something waits counts: a queue that runs empty tells nothing
 // of how fast it could be served.
-type drain struct {
-	since time.Time
-	work  float64
-	mean  float64
+type serviceRate struct {
+	windowStart time.Time
+	tokens      float64
+	mean        float64
 }
 
 // drainWindow is the time over which the rate is measured.
-const drainWindow = time.Second
+const rateWindow = time.Second
 
-func (d *drain) take(tokens int) { d.work += float64(tokens) }
+func (d *serviceRate) add(tokens int) { d.tokens += float64(tokens) }
 
 // watch closes a window that is over, or drops all if nothing waits.
-func (d *drain) watch(now time.Time, waits bool) {
-	if !waits {
-		*d = drain{since: now}
+func (d *serviceRate) update(now time.Time, waiting bool) {
+	if !waiting {
+		*d = serviceRate{windowStart: now}
 		return
 	}
-	span := now.Sub(d.since)
-	if span < drainWindow {
+	elapsed := now.Sub(d.windowStart)
+	if elapsed < rateWindow {
 		return
 	}
-	rate := d.work / span.Seconds()
+	rate := d.tokens / elapsed.Seconds()
 	if d.mean == 0 {
 		d.mean = rate
 	}
 	d.mean = (d.mean + rate) / 2
-	d.work, d.since = 0, now
+	d.tokens, d.windowStart = 0, now
 }
 
-func (c *Core) drainRate(model string, priority int) *drain {
+func (c *Core) serviceRateOf(model string, priority int) *serviceRate {
 	k := rateKey{model, priority}
-	d := c.rates[k]
+	d := c.serviceRates[k]
 	if d == nil {
-		d = &drain{}
-		c.rates[k] = d
+		d = &serviceRate{}
+		c.serviceRates[k] = d
 	}
 	return d
 }
