--- a/placement/choose.go
+++ b/placement/choose.go
@@ -52,11 +52,11 @@
 	// depth is how many prefills of this entry may stand at one server: one
 	// that runs and one that is ready to follow, so that the engine is never
 	// idle and late choices stay open.
-	depth = 2
+	maxOwnPrefills = 2
 	// maxConsidered bounds the candidates that a record keeps.
 	maxConsidered = 8
 	// crossZone is added to a transfer between availability zones.
-	crossZone = 3 * time.Millisecond
+	crossZoneDelay = 3 * time.Millisecond
 	// blockTokens is the number of tokens that one prefix hash stands for.
 	blockTokens = BlockBytes / BytesPerToken
 )
@@ -68,14 +68,14 @@
 // can take the request now.
 func (v *View) Choose(now time.Time, q Query) Choice {
 	var c Choice
-	d, ruled := v.chooseDecode(now, &q, nil, &c)
+	d, exclusion := v.chooseDecode(now, &q, nil, &c)
 	if d == nil {
-		c.Exclusion = ruled
+		c.Exclusion = exclusion
 		return c
 	}
-	p, ready, ruled := v.choosePrefill(now, &q, &c)
+	p, ready, exclusion := v.choosePrefill(now, &q, &c)
 	if p == nil {
-		c.Exclusion = ruled
+		c.Exclusion = exclusion
 		return c
 	}
 	c.Prefill, c.Decode = p, d
@@ -90,19 +90,19 @@
 func (v *View) TransferTime(from, to *Server, bytes int64) time.Duration {
 	rate := min(from.LinkRate, to.LinkRate)
 	sharers := 1 + max(from.transfers(), to.transfers())
-	took := time.Duration(float64(bytes) * float64(sharers) / max(rate, 1) * float64(time.Second))
+	duration := time.Duration(float64(bytes) * float64(sharers) / max(rate, 1) * float64(time.Second))
 	if from.Zone != to.Zone {
-		took += crossZone
+		duration += crossZoneDelay
 	}
-	return took
+	return duration
 }
 
 // transfers counts the transfers on the server's link.
-func (s *Server) transfers() int { return s.moving + s.movingOut }
+func (s *Server) transfers() int { return s.ownTransfers + s.otherTransfers }
 
 // scan calls f for the servers of a list, or for a random run of them if the
 // list is long.
-func (v *View) scan(list []*Server, f func(*Server)) {
+func (v *View) sample(list []*Server, f func(*Server)) {
 	n := len(list)
 	if n <= scanLimit {
 		for _, s := range list {
@@ -126,14 +126,14 @@
 func (v *View) choosePrefill(now time.Time, q *Query, c *Choice) (*Server, time.Duration, Exclusion) {
 	var best *Server
 	var bestReady time.Duration
-	why := Exclusion(NoModel)
-	try := func(s *Server) {
-		b := s.block(now, q)
-		if b == Eligible && (s.ownAhead(q.Priority) >= depth || s.Free() <= Headroom(true, s.slots, q.Priority)) {
+	exclusion := Exclusion(NoModel)
+	evaluate := func(s *Server) {
+		b := s.exclusion(now, q)
+		if b == Eligible && (s.ownPrefillsAhead(q.Priority) >= maxOwnPrefills || s.Free() <= Headroom(true, s.slots, q.Priority)) {
 			b = Busy
 		}
 		if b != Eligible {
-			why = worse(why, b)
+			exclusion = moreRelevant(exclusion, b)
 			c.consider(s, b, 0, 0)
 			return
 		}
@@ -144,16 +144,16 @@
 			best, bestReady = s, ready
 		}
 	}
-	if h := v.holders.find(q.Prefixes); h != nil && len(v.prefill) > scanLimit && h.Role == "prefill" {
-		try(h)
+	if holder := v.holders.find(q.Prefixes); holder != nil && len(v.prefill) > scanLimit && holder.Role == "prefill" {
+		evaluate(holder)
 	}
-	v.scan(v.prefill, try)
-	return best, bestReady, why
+	v.sample(v.prefill, evaluate)
+	return best, bestReady, exclusion
 }
 
 // worse keeps the reason that tells most: a server that could serve soon says
 // more than one that can't.
-func worse(a, b Exclusion) Exclusion {
+func moreRelevant(a, b Exclusion) Exclusion {
 	if a == Busy || a == NoSlot {
 		return a
 	}
@@ -162,12 +162,12 @@
 
 func (s *Server) prefillTime(priority, tokens int) time.Duration {
 	work := s.QueuedTokens(priority) + tokens
-	return time.Duration(float64(work) / max(s.rate, 1) * float64(time.Second))
+	return time.Duration(float64(work) / max(s.prefillRate, 1) * float64(time.Second))
 }
 
 // cached returns how many prompt tokens the server is thought to have cached.
 func (v *View) cached(s *Server, q *Query) int {
-	return min(s.cache.depth(q.Prefixes)*blockTokens, max(q.Tokens-1, 0))
+	return min(s.cachedPrefixes.matchLength(q.Prefixes)*blockTokens, max(q.Tokens-1, 0))
 }
 
 // ChooseDecode picks a decode server alone, for a KV cache that is there.
@@ -182,14 +182,14 @@
 func (v *View) chooseDecode(now time.Time, q *Query, from *Server, c *Choice) (*Server, Exclusion) {
 	var best *Server
 	var bestScore float64
-	why := Exclusion(NoModel)
-	v.scan(v.decode, func(s *Server) {
-		b := s.block(now, q)
+	exclusion := Exclusion(NoModel)
+	v.sample(v.decode, func(s *Server) {
+		b := s.exclusion(now, q)
 		if b == Eligible && s.Free() <= Headroom(false, s.slots, q.Priority) {
 			b = NoSlot
 		}
 		if b != Eligible {
-			why = worse(why, b)
+			exclusion = moreRelevant(exclusion, b)
 			c.consider(s, b, 0, 0)
 			return
 		}
@@ -198,7 +198,7 @@
 			best, bestScore = s, score
 		}
 	})
-	return best, why
+	return best, exclusion
 }
 
 // Headroom is the number of slots that requests below the first priority leave
@@ -211,11 +211,11 @@
 	case prefill:
 		return slots / 2
 	}
-	return slots / decodeHeadroom
+	return slots / decodeHeadroomDivisor
 }
 
 // decodeHeadroom is the part of the decode slots that is left free.
-const decodeHeadroom = 16
+const decodeHeadroomDivisor = 16
 
 // linkWeight is what one transfer on a link counts in the choice of a decode
 // server, as a share of its slots.
@@ -237,42 +237,42 @@
 }
 
 // speed is the best that the servers of one model do.
-type speed struct {
-	rate, link float64
-	at         time.Time
+type bestRates struct {
+	prefill, link float64
+	at            time.Time
 }
 
 // speedAge is how long a speed is used before it is worked out again.
-const speedAge = 100 * time.Millisecond
+const bestRatesTTL = 100 * time.Millisecond
 
 // fastest returns the best prefill and link rates among the servers of a model.
-func (v *View) fastest(now time.Time, model string) speed {
-	sp, ok := v.speeds[model]
-	if ok && now.Sub(sp.at) < speedAge {
-		return sp
+func (v *View) fastest(now time.Time, model string) bestRates {
+	best, ok := v.best[model]
+	if ok && now.Sub(best.at) < bestRatesTTL {
+		return best
 	}
-	sp = speed{at: now}
+	best = bestRates{at: now}
 	for _, s := range v.prefill {
-		if s.up && !s.leaving && s.models[model] {
-			sp.rate = max(sp.rate, s.rate)
-			sp.link = max(sp.link, s.LinkRate)
+		if s.connected && !s.leaving && s.models[model] {
+			best.prefill = max(best.prefill, s.prefillRate)
+			best.link = max(best.link, s.LinkRate)
 		}
 	}
-	v.speeds[model] = sp
-	return sp
+	v.best[model] = best
+	return best
 }
 
 // Shortest estimates the least time to a first token on any idle server pair;
 // zero if no server is known.
 func (v *View) MinFirstTokenTime(now time.Time, q Query) time.Duration {
-	sp := v.fastest(now, q.Model)
-	if sp.rate == 0 {
+	best := v.fastest(now, q.Model)
+	if best.prefill == 0 {
 		return 0
 	}
-	deep := 0
-	if h := v.holders.find(q.Prefixes); h != nil {
-		deep = v.cached(h, &q)
+	cached := 0
+	if holder := v.holders.find(q.Prefixes); holder != nil {
+		cached = v.cached(holder, &q)
 	}
-	seconds := float64(q.Tokens-deep)/sp.rate + float64(q.KVBytes)/max(sp.link, 1)
+	seconds := float64(q.Tokens-cached)/best.prefill + float64(q.KVBytes)/max(best.link, 1)
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/placement/prefix.go
+++ b/placement/prefix.go
@@ -53,7 +53,7 @@
 
 // depth returns how many of the hashes are held, taking it that whoever holds
 // a long prefix holds the shorter ones.
-func (p *prefixSet) depth(hashes []uint64) int {
+func (p *prefixSet) matchLength(hashes []uint64) int {
 	low, high := 0, len(hashes)
 	for low < high {
 		mid := (low + high + 1) / 2
--- a/placement/server.go
+++ b/placement/server.go
@@ -46,35 +46,35 @@
 
 // The first guesses, until answers have taught better.
 const (
-	firstPrefillRate = 8000.0 // tokens a second
-	firstTokenTime   = 30 * time.Millisecond
-	learnWeight      = 0.2
+	initialPrefillRate = 8000.0 // tokens a second
+	initialTokenTime   = 30 * time.Millisecond
+	smoothingWeight    = 0.2
 )
 
 // Server is one backend server as an entry sees it.
 type Server struct {
 	ServerConfig
-	models  map[string]bool
-	up      bool
-	leaving bool
-	health  retry.Health
-
-	slots    int
-	others   int // slots of other entries, as reported
-	mine     int // slots of this entry
-	backlog  [Priorities]int32
-	own      [Priorities]int32 // tokens of this entry
-	ownCount [Priorities]int   // prefills of this entry
-
-	rate      float64 // prefill tokens a second, learnt
-	tokenTime time.Duration
-	moving    int // transfers of this entry on the server's link
-	movingOut int // those of others, as reported
-	cache     *prefixSet
+	models    map[string]bool
+	connected bool
+	leaving   bool
+	health    retry.Health
+
+	slots       int
+	otherSlots  int // slots of other entries, as reported
+	ownSlots    int // slots of this entry
+	otherTokens [Priorities]int32
+	ownTokens   [Priorities]int32 // tokens of this entry
+	ownPrefills [Priorities]int   // prefills of this entry
+
+	prefillRate    float64 // prefill tokens a second, learnt
+	tokenTime      time.Duration
+	ownTransfers   int // transfers of this entry on the server's link
+	otherTransfers int // those of others, as reported
+	cachedPrefixes *prefixSet
 }
 
 func newServer(i ServerConfig) *Server {
-	s := &Server{ServerConfig: i, rate: firstPrefillRate, tokenTime: firstTokenTime, cache: newPrefixSet(maxPrefixes)}
+	s := &Server{ServerConfig: i, prefillRate: initialPrefillRate, tokenTime: initialTokenTime, cachedPrefixes: newPrefixSet(maxPrefixes)}
 	s.slots = i.Slots
 	s.setModels(i.Models)
 	return s
@@ -88,22 +88,22 @@
 }
 
 // Free returns the slots that are thought to be free; it may be negative.
-func (s *Server) Free() int { return s.slots - s.others - s.mine }
+func (s *Server) Free() int { return s.slots - s.otherSlots - s.ownSlots }
 
 // Mine counts the slots that this entry holds at the server.
-func (s *Server) OwnSlots() int { return s.mine }
+func (s *Server) OwnSlots() int { return s.ownSlots }
 
 // Outstanding counts the requests that are thought to be at the server.
-func (s *Server) Outstanding() int { return s.others + s.mine }
+func (s *Server) Outstanding() int { return s.otherSlots + s.ownSlots }
 
 // Rate returns the learnt prefill rate in tokens a second.
-func (s *Server) Rate() float64 { return s.rate }
+func (s *Server) Rate() float64 { return s.prefillRate }
 
 // TokenTime returns the learnt time between tokens.
 func (s *Server) TokenTime() time.Duration { return s.tokenTime }
 
 // Up tells whether the entry has a link to the server's agent.
-func (s *Server) Connected() bool { return s.up }
+func (s *Server) Connected() bool { return s.connected }
 
 // Loaded lists the models that the server is thought to have loaded.
 func (s *Server) LoadedModels() []string {
@@ -123,16 +123,16 @@
 func (s *Server) QueuedTokens(priority int) int {
 	sum := 0
 	for i := 0; i <= priority && i < Priorities; i++ {
-		sum += int(s.backlog[i] + s.own[i])
+		sum += int(s.otherTokens[i] + s.ownTokens[i])
 	}
 	return sum
 }
 
 // ownAhead counts this entry's prefills up to a priority.
-func (s *Server) ownAhead(priority int) int {
+func (s *Server) ownPrefillsAhead(priority int) int {
 	n := 0
 	for i := 0; i <= priority; i++ {
-		n += s.ownCount[i]
+		n += s.ownPrefills[i]
 	}
 	return n
 }
@@ -152,9 +152,9 @@
 	JustFailed   Exclusion = "failed this request before"
 )
 
-func (s *Server) block(now time.Time, q *Query) Exclusion {
+func (s *Server) exclusion(now time.Time, q *Query) Exclusion {
 	switch {
-	case !s.up:
+	case !s.connected:
 		return Disconnected
 	case s.leaving:
 		return Leaving
--- a/placement/view.go
+++ b/placement/view.go
@@ -15,13 +15,13 @@
 	prefill []*Server
 	decode  []*Server
 	holders *holderIndex
-	speeds  map[string]speed
+	best    map[string]bestRates
 }
 
 // NewView returns an empty view for an entry in a zone. The random source
 // breaks ties and picks samples.
 func NewView(zone string, rng *rand.Rand) *View {
-	return &View{zone: zone, rng: rng, servers: map[string]*Server{}, holders: newHolderIndex(), speeds: map[string]speed{}}
+	return &View{zone: zone, rng: rng, servers: map[string]*Server{}, holders: newHolderIndex(), best: map[string]bestRates{}}
 }
 
 // Set enters a server or brings what the settings say of it up to date. What
@@ -78,7 +78,7 @@
 // SetUp tells that the link to a server's agent is there or lost.
 func (v *View) SetConnected(name string, up bool) {
 	if s := v.servers[name]; s != nil {
-		s.up = up
+		s.connected = up
 	}
 }
 
@@ -95,17 +95,17 @@
 	if s == nil {
 		return
 	}
-	s.others = l.Others
+	s.otherSlots = l.Others
 	s.slots = l.Slots
 	s.leaving = l.Leaving
-	s.movingOut = l.Transfers
-	s.backlog = [Priorities]int32{}
-	copy(s.backlog[:], l.Backlog)
+	s.otherTransfers = l.Transfers
+	s.otherTokens = [Priorities]int32{}
+	copy(s.otherTokens[:], l.Backlog)
 	if l.NoModels || len(l.Models) > 0 {
 		s.setModels(l.Models)
 	}
 	for _, h := range l.Cached {
-		s.cache.add(h)
+		s.cachedPrefixes.add(h)
 		v.holders.set(h, s)
 	}
 }
@@ -117,7 +117,7 @@
 
 func anyServes(list []*Server, model string) bool {
 	for _, s := range list {
-		if s.up && !s.leaving && s.models[model] {
+		if s.connected && !s.leaving && s.models[model] {
 			return true
 		}
 	}
@@ -126,17 +126,17 @@
 
 // PrefillSent notes that this entry has prefill work at a server.
 func (v *View) PrefillReserved(s *Server, priority, tokens int) {
-	s.own[priority] += int32(tokens)
-	s.ownCount[priority]++
-	s.mine++
+	s.ownTokens[priority] += int32(tokens)
+	s.ownPrefills[priority]++
+	s.ownSlots++
 	s.health.StartProbe()
 }
 
 // PrefillGone notes that the work has ended in whatever way.
 func (v *View) PrefillReleased(s *Server, priority, tokens int) {
-	s.own[priority] -= int32(tokens)
-	s.ownCount[priority]--
-	s.mine--
+	s.ownTokens[priority] -= int32(tokens)
+	s.ownPrefills[priority]--
+	s.ownSlots--
 }
 
 // PrefillDone learns from a prefill that went well. Took covers the time at
@@ -144,40 +144,40 @@
 func (v *View) PrefillDone(s *Server, hashes []uint64, computed, cached int, took time.Duration) {
 	s.health.RecordSuccess()
 	if computed > 0 && took > 0 {
-		s.rate += learnWeight * (float64(computed)/took.Seconds() - s.rate)
+		s.prefillRate += smoothingWeight * (float64(computed)/took.Seconds() - s.prefillRate)
 	}
-	v.learnPrefixes(s, hashes, computed, cached)
+	v.recordPrefixes(s, hashes, computed, cached)
 }
 
 // learnPrefixes notes that the server has the whole prompt now. A hint that
 // the engine's answer proved wrong has been overwritten by this.
-func (v *View) learnPrefixes(s *Server, hashes []uint64, computed, cached int) {
+func (v *View) recordPrefixes(s *Server, hashes []uint64, computed, cached int) {
 	if computed+cached == 0 {
 		return
 	}
 	for _, h := range hashes {
-		s.cache.add(h)
+		s.cachedPrefixes.add(h)
 		v.holders.set(h, s)
 	}
 }
 
 // Forget drops all prefix hints of a server, for an engine that restarted.
-func (v *View) ForgetPrefixes(s *Server) { s.cache = newPrefixSet(maxPrefixes) }
+func (v *View) ForgetPrefixes(s *Server) { s.cachedPrefixes = newPrefixSet(maxPrefixes) }
 
 // SlotTaken notes that this entry holds a decode slot at a server.
 func (v *View) SlotReserved(s *Server) {
-	s.mine++
+	s.ownSlots++
 	s.health.StartProbe()
 }
 
 // SlotFreed notes that the slot is free again.
-func (v *View) SlotReleased(s *Server) { s.mine-- }
+func (v *View) SlotReleased(s *Server) { s.ownSlots-- }
 
 // DecodeOK learns the time between tokens of a decode that went well.
 func (v *View) DecodeDone(s *Server, perToken time.Duration) {
 	s.health.RecordSuccess()
 	if perToken > 0 {
-		s.tokenTime += time.Duration(learnWeight * float64(perToken-s.tokenTime))
+		s.tokenTime += time.Duration(smoothingWeight * float64(perToken-s.tokenTime))
 	}
 }
 
@@ -187,12 +187,12 @@
 
 // TransferStarted notes a transfer of this entry between two servers.
 func (v *View) TransferStarted(from, to *Server) {
-	from.moving++
-	to.moving++
+	from.ownTransfers++
+	to.ownTransfers++
 }
 
 // TransferEnded notes that it has ended in whatever way.
 func (v *View) TransferEnded(from, to *Server) {
-	from.moving--
-	to.moving--
+	from.ownTransfers--
+	to.ownTransfers--
 }
