--- a/admission/queue.go
+++ b/admission/queue.go
@@ -22,12 +22,12 @@
 	// a request that ran before, which goes first and is worth waiting for.
 	Expires time.Time
 
-	pos int
-	in  *customer
+	pos   int
+	owner *customer
 }
 
 // until returns when the item is of no use any more.
-func (it *Item) until() time.Time {
+func (it *Item) expiry() time.Time {
 	if it.Expires.IsZero() {
 		return it.Deadline
 	}
@@ -53,25 +53,25 @@
 // level is one priority: the customers with waiting requests, ordered by the
 // work that each has had for its share.
 type level struct {
-	customers map[string]*customer
-	order     pq.Queue[*customer] // by the work that each has had for its share
-	virtual   float64
-	work      int
+	customers   map[string]*customer
+	order       pq.Queue[*customer] // by the work that each has had for its share
+	virtualTime float64
+	work        int
 }
 
 type customer struct {
-	name    string
-	share   float64
-	virtual float64
-	items   pq.Queue[*Item] // by deadline
-	work    int
-	pos     int
+	name        string
+	share       float64
+	virtualTime float64
+	items       pq.Queue[*Item] // by deadline
+	work        int
+	pos         int
 }
 
 // before orders customers by the work that each has had for its share.
 func (c *customer) before(o *customer) bool {
-	if c.virtual != o.virtual {
-		return c.virtual < o.virtual
+	if c.virtualTime != o.virtualTime {
+		return c.virtualTime < o.virtualTime
 	}
 	return c.name < o.name
 }
@@ -82,7 +82,7 @@
 	for i := range q.levels {
 		l := &level{customers: map[string]*customer{}}
 		l.order.Less = (*customer).before
-		l.order.Moved = func(c *customer, place int) { c.pos = place }
+		l.order.Moved = func(c *customer, index int) { c.pos = index }
 		q.levels[i] = l
 	}
 	return q
@@ -108,14 +108,14 @@
 	q.byID[it.ID] = it
 	l := q.levels[it.Priority]
 	c := l.customer(it)
-	it.in = c
+	it.owner = c
 	c.items.Push(it)
 	c.work += it.Work
 	l.work += it.Work
 	if c.pos < 0 {
 		// A customer that comes back starts at the level's present, so that it
 		// can't claim the share of the time in which it asked for nothing.
-		c.virtual = max(c.virtual, l.virtual)
+		c.virtualTime = max(c.virtualTime, l.virtualTime)
 		l.order.Push(c)
 	}
 }
@@ -123,9 +123,9 @@
 func (l *level) customer(it *Item) *customer {
 	c := l.customers[it.Customer]
 	if c == nil {
-		c = &customer{name: it.Customer, virtual: l.virtual, pos: -1}
+		c = &customer{name: it.Customer, virtualTime: l.virtualTime, pos: -1}
 		c.items.Less = (*Item).before
-		c.items.Moved = func(it *Item, place int) { it.pos = place }
+		c.items.Moved = func(it *Item, index int) { it.pos = index }
 		l.customers[it.Customer] = c
 	}
 	c.share = float64(max(it.Share, 1))
@@ -139,20 +139,20 @@
 		return nil
 	}
 	delete(q.byID, id)
-	l, c := q.levels[it.Priority], it.in
+	l, c := q.levels[it.Priority], it.owner
 	c.items.Remove(it.pos)
 	c.work -= it.Work
 	l.work -= it.Work
 	if c.items.Len() == 0 {
 		l.order.Remove(c.pos)
-		l.forget(c)
+		l.dropIdle(c)
 	}
 	return it
 }
 
 // forget drops a customer that has had no more than its share.
-func (l *level) forget(c *customer) {
-	if c.virtual <= l.virtual || l.order.Len() == 0 {
+func (l *level) dropIdle(c *customer) {
+	if c.virtualTime <= l.virtualTime || l.order.Len() == 0 {
 		delete(l.customers, c.name)
 	}
 }
@@ -174,19 +174,19 @@
 	if it == nil {
 		return nil
 	}
-	l, c := q.levels[it.Priority], it.in
-	l.virtual = max(l.virtual, c.virtual)
-	c.virtual += float64(max(it.Work, 1)) / c.share
+	l, c := q.levels[it.Priority], it.owner
+	l.virtualTime = max(l.virtualTime, c.virtualTime)
+	c.virtualTime += float64(max(it.Work, 1)) / c.share
 	l.order.Fix(c.pos)
 	return q.Remove(id)
 }
 
 // Due takes out the items of a priority whose first token can't come in time
 // any more: need is the shortest time from now to the first token.
-func (q *Queue) RemoveLate(priority int, now time.Time, need func(*Item) time.Duration) []*Item {
+func (q *Queue) RemoveLate(priority int, now time.Time, minTime func(*Item) time.Duration) []*Item {
 	var out []*Item
 	for _, c := range q.levels[priority].order.Items() {
-		out = append(out, late(c.items.Items(), now, need)...)
+		out = append(out, lateItems(c.items.Items(), now, minTime)...)
 	}
 	for _, it := range out {
 		q.Remove(it.ID)
@@ -196,16 +196,16 @@
 
 // late walks a heap from its earliest deadline and stops below items that have
 // time left.
-func late(h []*Item, now time.Time, need func(*Item) time.Duration) []*Item {
+func lateItems(h []*Item, now time.Time, minTime func(*Item) time.Duration) []*Item {
 	var out []*Item
 	stack := []int{0}
 	for len(stack) > 0 {
 		i := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if i >= len(h) || now.Add(slack).Before(h[i].Deadline.Add(-maxNeed)) {
+		if i >= len(h) || now.Add(scanMargin).Before(h[i].Deadline.Add(-maxServiceTime)) {
 			continue
 		}
-		if now.Add(need(h[i])).After(h[i].until()) {
+		if now.Add(minTime(h[i])).After(h[i].expiry()) {
 			out = append(out, h[i])
 		}
 		stack = append(stack, 2*i+1, 2*i+2)
@@ -214,9 +214,9 @@
 }
 
 const (
-	slack = 10 * time.Millisecond
+	scanMargin = 10 * time.Millisecond
 	// maxNeed is the longest time that one request is thought to need.
-	maxNeed = time.Minute
+	maxServiceTime = time.Minute
 )
 
 // Shed takes out the items of a priority that can't all be done in time if the
@@ -251,10 +251,10 @@
 		kept.Push(it)
 		work += float64(it.Work)
 		end := now.Add(time.Duration(work / rate * float64(time.Second)))
-		if end.After(it.until()) {
-			big := kept.Pop()
-			work -= float64(big.Work)
-			out = append(out, big)
+		if end.After(it.expiry()) {
+			largest := kept.Pop()
+			work -= float64(largest.Work)
+			out = append(out, largest)
 		}
 	}
 	return out
