--- a/lease/table.go
+++ b/lease/table.go
@@ -63,19 +63,19 @@
 	CancelInterval time.Duration
 }
 
-type entry struct {
-	id    ID
-	owner string
-	state State
-	keep  bool
-	due   time.Time // Held: end of the hold. Running: its limit. Cancelling: next cancel.
-	try   int
-	pos   int // index in the heap, or -1
+type heldLease struct {
+	id         ID
+	owner      string
+	state      State
+	keep       bool
+	timerAt    time.Time // Held: end of the hold. Running: its limit. Cancelling: next cancel.
+	cancels    int
+	timerIndex int // index in the heap, or -1
 }
 
 type owner struct {
-	seen   time.Time
-	leases map[ID]*entry
+	renewed time.Time
+	leases  map[ID]*heldLease
 }
 
 // Table holds the leases of one server.
@@ -84,16 +84,16 @@
 	slots      int
 	leaving    bool
 	recovering bool
-	leases     map[ID]*entry
+	leases     map[ID]*heldLease
 	owners     map[string]*owner
-	due        pq.Queue[*entry]
+	timers     pq.Queue[*heldLease]
 }
 
 // New returns a table with a number of slots.
 func New(slots int, opts Options) *Table {
-	t := &Table{opts: opts, slots: slots, leases: map[ID]*entry{}, owners: map[string]*owner{}}
-	t.due.Less = func(a, b *entry) bool { return a.due.Before(b.due) }
-	t.due.Moved = func(e *entry, place int) { e.pos = place }
+	t := &Table{opts: opts, slots: slots, leases: map[ID]*heldLease{}, owners: map[string]*owner{}}
+	t.timers.Less = func(a, b *heldLease) bool { return a.timerAt.Before(b.timerAt) }
+	t.timers.Moved = func(e *heldLease, index int) { e.timerIndex = index }
 	return t
 }
 
@@ -117,8 +117,8 @@
 func (t *Table) Used() int { return len(t.leases) }
 
 // UsedBy counts the slots under lease of one owner.
-func (t *Table) UsedBy(by string) int {
-	o := t.owners[by]
+func (t *Table) UsedBy(ownerName string) int {
+	o := t.owners[ownerName]
 	if o == nil {
 		return 0
 	}
@@ -173,17 +173,17 @@
 	case len(t.leases)+a.Headroom >= t.slots:
 		return Full
 	}
-	e := &entry{id: a.ID, owner: a.Owner, keep: a.Keep, due: now.Add(a.Hold), pos: -1}
+	e := &heldLease{id: a.ID, owner: a.Owner, keep: a.Keep, timerAt: now.Add(a.Hold), timerIndex: -1}
 	t.add(now, e)
-	t.due.Push(e)
+	t.timers.Push(e)
 	return None
 }
 
-func (t *Table) add(now time.Time, e *entry) {
+func (t *Table) add(now time.Time, e *heldLease) {
 	t.leases[e.id] = e
 	o := t.owners[e.owner]
 	if o == nil {
-		o = &owner{seen: now, leases: map[ID]*entry{}}
+		o = &owner{renewed: now, leases: map[ID]*heldLease{}}
 		t.owners[e.owner] = o
 	}
 	o.leases[e.id] = e
@@ -196,7 +196,7 @@
 		return false
 	}
 	e.state = Running
-	t.unschedule(e)
+	t.stopTimer(e)
 	return true
 }
 
@@ -206,9 +206,9 @@
 	if e == nil || e.state != Running {
 		return
 	}
-	t.unschedule(e)
-	e.due = at
-	t.due.Push(e)
+	t.stopTimer(e)
+	e.timerAt = at
+	t.timers.Push(e)
 }
 
 // Finish frees the slot of id: the engine holds nothing of it any more.
@@ -217,7 +217,7 @@
 	if e == nil {
 		return
 	}
-	t.unschedule(e)
+	t.stopTimer(e)
 	delete(t.leases, id)
 	o := t.owners[e.owner]
 	delete(o.leases, id)
@@ -237,22 +237,22 @@
 	return []EngineCancel{t.cancel(now, e)}
 }
 
-func (t *Table) cancel(now time.Time, e *entry) EngineCancel {
+func (t *Table) cancel(now time.Time, e *heldLease) EngineCancel {
 	e.state = Cancelling
-	e.try++
-	e.due = now.Add(t.opts.CancelInterval)
-	if e.pos < 0 {
-		t.due.Push(e)
+	e.cancels++
+	e.timerAt = now.Add(t.opts.CancelInterval)
+	if e.timerIndex < 0 {
+		t.timers.Push(e)
 	} else {
-		t.due.Fix(e.pos)
+		t.timers.Fix(e.timerIndex)
 	}
-	return EngineCancel{ID: e.id, Try: e.try}
+	return EngineCancel{ID: e.id, Try: e.cancels}
 }
 
 // Seen renews all leases of an owner.
-func (t *Table) Renew(now time.Time, by string) {
-	if o := t.owners[by]; o != nil {
-		o.seen = now
+func (t *Table) Renew(now time.Time, ownerName string) {
+	if o := t.owners[ownerName]; o != nil {
+		o.renewed = now
 	}
 }
 
@@ -262,27 +262,27 @@
 	if t.leases[id] != nil {
 		return nil
 	}
-	e := &entry{id: id, state: Running, pos: -1}
+	e := &heldLease{id: id, state: Running, timerIndex: -1}
 	t.add(now, e)
 	return []EngineCancel{t.cancel(now, e)}
 }
 
 // Gone gives up all leases of an owner whose link has closed and not come back.
-func (t *Table) ExpireOwner(now time.Time, by string) []EngineCancel {
-	o := t.owners[by]
+func (t *Table) ExpireOwner(now time.Time, ownerName string) []EngineCancel {
+	o := t.owners[ownerName]
 	if o == nil {
 		return nil
 	}
-	return t.giveUp(now, o)
+	return t.cancelLeases(now, o)
 }
 
 // Claim enters a request that the engine runs for an owner that knows it, after
 // a restart of the agent. It reports false if the table has it already.
-func (t *Table) Restore(now time.Time, id ID, by string, keep bool) bool {
+func (t *Table) Restore(now time.Time, id ID, ownerName string, keep bool) bool {
 	if t.leases[id] != nil {
 		return false
 	}
-	t.add(now, &entry{id: id, owner: by, state: Running, keep: keep, pos: -1})
+	t.add(now, &heldLease{id: id, owner: ownerName, state: Running, keep: keep, timerIndex: -1})
 	return true
 }
 
@@ -290,8 +290,8 @@
 // repeats cancels that are due.
 func (t *Table) Tick(now time.Time) []EngineCancel {
 	out := t.expireOwners(now)
-	for t.due.Len() > 0 && !t.due.First().due.After(now) {
-		e := t.due.First()
+	for t.timers.Len() > 0 && !t.timers.First().timerAt.After(now) {
+		e := t.timers.First()
 		if e.state == Held {
 			t.Finish(e.id)
 			continue
@@ -305,22 +305,22 @@
 	var out []EngineCancel
 	for name, o := range t.owners {
 		if len(o.leases) == 0 {
-			if now.Sub(o.seen) > t.opts.TTL {
+			if now.Sub(o.renewed) > t.opts.TTL {
 				delete(t.owners, name)
 			}
 			continue
 		}
-		if now.Sub(o.seen) <= t.opts.TTL {
+		if now.Sub(o.renewed) <= t.opts.TTL {
 			continue
 		}
-		out = append(out, t.giveUp(now, o)...)
+		out = append(out, t.cancelLeases(now, o)...)
 	}
 	sortEffects(out)
 	return out
 }
 
 // giveUp cancels the leases of an owner, in the order of their IDs.
-func (t *Table) giveUp(now time.Time, o *owner) []EngineCancel {
+func (t *Table) cancelLeases(now time.Time, o *owner) []EngineCancel {
 	var out []EngineCancel
 	for id, e := range o.leases {
 		if !e.keep {
@@ -352,13 +352,13 @@
 func (t *Table) Dump() []Lease {
 	out := make([]Lease, 0, len(t.leases))
 	for id, e := range t.leases {
-		out = append(out, Lease{ID: id, Owner: e.owner, State: e.state.String(), Cancels: e.try})
+		out = append(out, Lease{ID: id, Owner: e.owner, State: e.state.String(), Cancels: e.cancels})
 	}
 	return out
 }
 
-func (t *Table) unschedule(e *entry) {
-	if e.pos >= 0 {
-		t.due.Remove(e.pos)
+func (t *Table) stopTimer(e *heldLease) {
+	if e.timerIndex >= 0 {
+		t.timers.Remove(e.timerIndex)
 	}
 }
