--- a/claim/proposer.go
+++ b/claim/proposer.go
@@ -34,7 +34,7 @@
 	attempt string
 	size    int
 	votes   map[string]Vote
-	final   Verdict
+	verdict Verdict
 }
 
 // NewProposer returns a proposer for an attempt in a group of size voters.
@@ -45,20 +45,20 @@
 // Vote takes one vote and returns the verdict. Once it is not Waiting, it
 // stays.
 func (p *Proposer) AddVote(v Vote) Verdict {
-	if p.final != Pending || v.Attempt != p.attempt {
-		return p.final
+	if p.verdict != Pending || v.Attempt != p.attempt {
+		return p.verdict
 	}
 	p.votes[v.Voter] = v
-	p.final = p.judge(false)
-	return p.final
+	p.verdict = p.decide(false)
+	return p.verdict
 }
 
 // Close ends the wait: voters that have not answered count as unknown.
 func (p *Proposer) Close() Verdict {
-	if p.final == Pending {
-		p.final = p.judge(true)
+	if p.verdict == Pending {
+		p.verdict = p.decide(true)
 	}
-	return p.final
+	return p.verdict
 }
 
 // Answer returns the recorded answer, if the verdict is Answered.
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (p *Proposer) judge(last bool) Verdict {
+func (p *Proposer) decide(last bool) Verdict {
 	granted, unknown := 0, p.size
 	holders := map[string]int{}
 	for _, v := range p.votes {
@@ -98,12 +98,12 @@
 	if len(p.votes) < p.size && !last {
 		return Pending // a later vote may show that nobody has won
 	}
-	return p.lost(holders, unknown)
+	return p.lossVerdict(holders, unknown)
 }
 
 // lost tells whether another attempt may have won. Grants that this attempt
 // holds can't have gone to another one.
-func (p *Proposer) lost(holders map[string]int, unknown int) Verdict {
+func (p *Proposer) lossVerdict(holders map[string]int, unknown int) Verdict {
 	for _, n := range holders {
 		if n+unknown >= Majority(p.size) {
 			return HeldByOther
--- a/claim/voter.go
+++ b/claim/voter.go
@@ -17,7 +17,7 @@
 	answer  *Answer
 	pos     int // index in the heap
 	// given marks the attempts that gave the key up: they may not get it back.
-	given map[string]bool
+	abandoned map[string]bool
 }
 
 // Voter is one member of a claim group.
@@ -25,16 +25,16 @@
 	name        string
 	incarnation uint64
 	members     []string
-	warm        bool
-	warmAt      time.Time
+	ready       bool
+	readyAt     time.Time
 	known       map[string]uint64
 	copied      map[string]bool
 	// got counts the grants that came from each member so far; lists are the
 	// grants that are being sent to members, as they were at the first part.
-	got    map[string]int
-	lists  map[string][]HeldKey
-	grants map[string]*grant
-	expiry pq.Queue[*grant]
+	received  map[string]int
+	snapshots map[string][]HeldKey
+	grants    map[string]*grant
+	expiry    pq.Queue[*grant]
 }
 
 // NewVoter returns a voter without grants. It is cold: it votes only after it
@@ -43,37 +43,37 @@
 // higher at each start.
 func NewVoter(now time.Time, name string, incarnation uint64, members []string, wait time.Duration) *Voter {
 	v := &Voter{
-		name: name, incarnation: incarnation, members: members, warmAt: now.Add(wait),
-		known: map[string]uint64{}, copied: map[string]bool{}, got: map[string]int{}, lists: map[string][]HeldKey{}, grants: map[string]*grant{},
+		name: name, incarnation: incarnation, members: members, readyAt: now.Add(wait),
+		known: map[string]uint64{}, copied: map[string]bool{}, received: map[string]int{}, snapshots: map[string][]HeldKey{}, grants: map[string]*grant{},
 	}
 	v.expiry.Less = func(a, b *grant) bool { return a.expires.Before(b.expires) }
-	v.expiry.Moved = func(g *grant, place int) { g.pos = place }
+	v.expiry.Moved = func(g *grant, index int) { g.pos = index }
 	return v
 }
 
 // Warm tells whether the voter votes.
-func (v *Voter) Ready() bool { return v.warm }
+func (v *Voter) Ready() bool { return v.ready }
 
 // Keys counts the keys that are kept.
 func (v *Voter) Keys() int { return len(v.grants) }
 
 // Found makes the voter vote at once: the group is new and has no past. Only
 // the operator, or a test, can know that.
-func (v *Voter) Bootstrap() { v.warm = true }
+func (v *Voter) Bootstrap() { v.ready = true }
 
 // Copy returns what a cold voter asks another member next; nil once it is warm
 // or has all of that member's grants.
 func (v *Voter) NextCopyRequest(from string) *CopyRequest {
-	if v.warm || v.copied[from] {
+	if v.ready || v.copied[from] {
 		return nil
 	}
-	return &CopyRequest{Voter: v.name, Incarnation: v.incarnation, From: v.got[from]}
+	return &CopyRequest{Voter: v.name, Incarnation: v.incarnation, From: v.received[from]}
 }
 
 // Tick forgets keys whose lifetime is over and ends a long wait.
 func (v *Voter) Tick(now time.Time) {
-	if !v.warm && !now.Before(v.warmAt) {
-		v.warm = true
+	if !v.ready && !now.Before(v.readyAt) {
+		v.ready = true
 	}
 	for v.expiry.Len() > 0 && !v.expiry.First().expires.After(now) {
 		delete(v.grants, v.expiry.Pop().key)
@@ -84,7 +84,7 @@
 func (v *Voter) Vote(now time.Time, a VoteRequest) Vote {
 	v.Tick(now)
 	out := Vote{Key: a.Key, Attempt: a.Attempt, Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy()}
-	if !v.warm {
+	if !v.ready {
 		out.Cold = true
 		return out
 	}
@@ -94,7 +94,7 @@
 		v.grants[a.Key] = g
 		v.expiry.Push(g)
 	}
-	if g.attempt == "" && !g.given[a.Attempt] {
+	if g.attempt == "" && !g.abandoned[a.Attempt] {
 		g.attempt = a.Attempt
 	}
 	out.Other = g.body != a.Body
@@ -121,28 +121,28 @@
 		}
 		return
 	}
-	g.giveUp()
+	g.abandon()
 }
 
-func (g *grant) giveUp() {
-	if g.given == nil {
-		g.given = map[string]bool{}
+func (g *grant) abandon() {
+	if g.abandoned == nil {
+		g.abandoned = map[string]bool{}
 	}
-	g.given[g.attempt] = true
+	g.abandoned[g.attempt] = true
 	g.attempt = ""
 }
 
 // Bounds of one Copied, so that it fits into a frame.
 const (
-	maxPart      = 5000
-	maxPartBytes = 4 << 20
+	maxBatchKeys  = 5000
+	maxBatchBytes = 4 << 20
 )
 
 // partEnd returns where the part of a list that begins at from ends.
-func partEnd(list []HeldKey, from int) int {
+func batchEnd(list []HeldKey, from int) int {
 	size := 0
 	end := from
-	for end < len(list) && end < from+maxPart && size < maxPartBytes {
+	for end < len(list) && end < from+maxBatchKeys && size < maxBatchBytes {
 		if a := list[end].Answer; a != nil {
 			size += len(a.Body)
 		}
@@ -157,28 +157,28 @@
 	if c.Incarnation > v.known[c.Voter] {
 		v.known[c.Voter] = c.Incarnation
 	}
-	out := CopyReply{Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy(), For: c.Incarnation, Cold: !v.warm, From: c.From}
-	if !v.warm {
+	out := CopyReply{Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy(), For: c.Incarnation, Cold: !v.ready, From: c.From}
+	if !v.ready {
 		return out
 	}
 	if c.From == 0 {
-		v.lists[c.Voter] = v.held(now)
+		v.snapshots[c.Voter] = v.heldKeys(now)
 	}
-	list := v.lists[c.Voter]
+	list := v.snapshots[c.Voter]
 	if c.From > len(list) {
 		return CopyReply{Voter: v.name, For: c.Incarnation, Cold: true} // it has to begin anew
 	}
-	end := partEnd(list, c.From)
+	end := batchEnd(list, c.From)
 	out.Held = list[c.From:end]
 	out.More = end < len(list)
 	if !out.More {
-		delete(v.lists, c.Voter)
+		delete(v.snapshots, c.Voter)
 	}
 	return out
 }
 
 // held lists all grants.
-func (v *Voter) held(now time.Time) []HeldKey {
+func (v *Voter) heldKeys(now time.Time) []HeldKey {
 	out := make([]HeldKey, 0, len(v.grants))
 	for _, g := range v.grants {
 		out = append(out, HeldKey{Key: g.key, Attempt: g.attempt, Body: g.body, Left: g.expires.Sub(now), Answer: g.answer})
@@ -189,11 +189,11 @@
 // Copied takes a part of the grants of another member and makes the voter warm
 // once a majority of the group has sent all of theirs.
 func (v *Voter) ApplyCopy(now time.Time, c CopyReply) {
-	if v.warm || c.For != v.incarnation || !v.member(c.Voter) || v.copied[c.Voter] {
+	if v.ready || c.For != v.incarnation || !v.isOtherMember(c.Voter) || v.copied[c.Voter] {
 		return
 	}
-	if c.Cold || c.From != v.got[c.Voter] {
-		v.got[c.Voter] = 0
+	if c.Cold || c.From != v.received[c.Voter] {
+		v.received[c.Voter] = 0
 		return
 	}
 	for _, h := range c.Held {
@@ -203,12 +203,12 @@
 		v.known[name] = max(v.known[name], inc)
 	}
 	v.known[c.Voter] = max(v.known[c.Voter], c.Incarnation)
-	v.got[c.Voter] += len(c.Held)
+	v.received[c.Voter] += len(c.Held)
 	if c.More {
 		return
 	}
 	v.copied[c.Voter] = true
-	v.warm = len(v.copied) >= Majority(len(v.members))
+	v.ready = len(v.copied) >= Majority(len(v.members))
 }
 
 // merge takes one grant of another member. If two members hold different
@@ -231,7 +231,7 @@
 	}
 }
 
-func (v *Voter) member(name string) bool {
+func (v *Voter) isOtherMember(name string) bool {
 	for _, m := range v.members {
 		if m == name && m != v.name {
 			return true
