--- a/stream/stream.go
+++ b/stream/stream.go
@@ -27,12 +27,12 @@
 
 // Assembler orders the chunks of one answer. The zero value is ready.
 type Assembler struct {
-	attempt uint32
-	next    int
-	early   map[int]Chunk
-	text    strings.Builder
-	done    bool
-	dropped int
+	attempt  uint32
+	next     int
+	buffered map[int]Chunk
+	text     strings.Builder
+	done     bool
+	dropped  int
 }
 
 // Attempt starts a newer attempt: chunks of older ones are dropped from now
@@ -40,7 +40,7 @@
 func (a *Assembler) StartAttempt(n uint32) int {
 	if n > a.attempt {
 		a.attempt = n
-		a.early = nil
+		a.buffered = nil
 	}
 	return a.next
 }
@@ -52,34 +52,34 @@
 		return nil, nil
 	}
 	if p.Index > a.next {
-		return nil, a.keep(p)
+		return nil, a.buffer(p)
 	}
 	out := []Chunk{p}
-	a.take(p)
+	a.append(p)
 	for !a.done {
-		q, ok := a.early[a.next]
+		q, ok := a.buffered[a.next]
 		if !ok {
 			break
 		}
-		delete(a.early, a.next)
-		a.take(q)
+		delete(a.buffered, a.next)
+		a.append(q)
 		out = append(out, q)
 	}
 	return out, nil
 }
 
-func (a *Assembler) keep(p Chunk) error {
-	if a.early == nil {
-		a.early = map[int]Chunk{}
+func (a *Assembler) buffer(p Chunk) error {
+	if a.buffered == nil {
+		a.buffered = map[int]Chunk{}
 	}
-	if len(a.early) >= MaxBuffered {
+	if len(a.buffered) >= MaxBuffered {
 		return ErrGap
 	}
-	a.early[p.Index] = p
+	a.buffered[p.Index] = p
 	return nil
 }
 
-func (a *Assembler) take(p Chunk) {
+func (a *Assembler) append(p Chunk) {
 	if p.Finish != "" {
 		a.done = true
 		return
