--- a/placement/choose.go
+++ b/placement/choose.go
@@ -264,7 +264,7 @@
 
 // Shortest estimates the least time to a first token on any idle server pair;
 // zero if no server is known.
-func (v *View) MinFirstTokenTime(now time.Time, q Query) time.Duration {
+func (v *View) MinTTFT(now time.Time, q Query) time.Duration {
 	best := v.fastest(now, q.Model)
 	if best.prefill == 0 {
 		return 0
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -69,7 +69,7 @@
 // hopeless refuses a request whose target is out of reach even if a server
 // were idle now; it reports whether it did.
 func (c *Core) refuseIfTooLate(now time.Time, q *admission.Queue, r *request) bool {
-	firstToken := c.view.MinFirstTokenTime(now, r.query())
+	firstToken := c.view.MinTTFT(now, r.query())
 	if !c.missesDeadline(now, r, firstToken) {
 		return false
 	}
--- a/router/tick.go
+++ b/router/tick.go
@@ -120,9 +120,7 @@
 	if !waiting {
 		return
 	}
-	minTime := func(item *admission.Item) time.Duration {
-		return c.view.MinFirstTokenTime(now, c.reqs[item.ID].query())
-	}
+	minTime := func(item *admission.Item) time.Duration { return c.view.MinTTFT(now, c.reqs[item.ID].query()) }
 	late := q.RemoveLate(level, now, minTime)
 	if d.mean > 0 {
 		late = append(late, q.Shed(level, now, d.mean)...)
