--- a/router/progress.go
+++ b/router/progress.go
@@ -119,15 +119,15 @@
 
 // Prefilled takes the result of a prefill. Took is the time that the engine
 // worked on it.
-func (c *Core) Prefilled(now time.Time, server string, id lease.ID, kv engine.KV, cached int, expected time.Duration) []Effect {
+func (c *Core) Prefilled(now time.Time, server string, id lease.ID, kv engine.KV, cached int, engineTime time.Duration) []Effect {
 	r := c.current(id)
 	if r == nil || r.phase != prefilling {
 		return c.takeEffects()
 	}
 	computed := max(kv.Tokens-cached, 0)
-	c.view.PrefillDone(r.prefill.server, r.Prefixes, computed, cached, expected)
+	c.view.PrefillDone(r.prefill.server, r.Prefixes, computed, cached, engineTime)
 	c.addStep(now, r, decision.Step{Kind: decision.Prefilled, Server: server,
-		Detail: fmt.Sprintf("%d tokens, %d of them cached, in %s", kv.Tokens, cached, expected.Round(time.Millisecond))})
+		Detail: fmt.Sprintf("%d tokens, %d of them cached, in %s", kv.Tokens, cached, engineTime.Round(time.Millisecond))})
 	r.kv, r.kvAttempt = kv, r.id()
 	r.kvExpires = now.Add(kv.TTL)
 	// The engine is done with the work, though it still holds the result.
