--- a/router/arrive.go
+++ b/router/arrive.go
@@ -9,8 +9,8 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// Arrive takes a new request. OpenLimit bounds the open requests of its
-// customer at this entry.
+// Submit adds a new request. At most openLimit requests of its customer may be
+// open at this entry; zero means no limit.
 func (c *Core) Submit(now time.Time, req Request, openLimit int) []Effect {
 	r := &request{Request: req, arrived: now, deadline: now.Add(req.TTFT), timerIndex: -1}
 	r.record = c.records.GetOrCreate(req.ID)
@@ -27,12 +27,12 @@
 	c.enqueue(now, r)
 	c.schedule(now, req.Model)
 	if r.phase == queued && c.reqs[r.ID] != nil {
-		c.addStep(now, r, decision.Step{Kind: decision.Deferred, Detail: fmt.Sprintf("%d wait", c.waiting)})
+		c.addStep(now, r, decision.Step{Kind: decision.Deferred, Detail: fmt.Sprintf("%d requests are waiting", c.waiting)})
 	}
 	return c.takeEffects()
 }
 
-// gate refuses what can't be taken whatever the load is.
+// checkLimits returns why a new request is refused before it is queued, or nil.
 func (c *Core) checkLimits(req Request, openLimit int) (*fault.Code, string) {
 	switch {
 	case c.draining:
@@ -40,11 +40,11 @@
 	case c.reqs[req.ID] != nil:
 		return fault.InProgress, "a request with this ID is open"
 	case openLimit > 0 && c.openByCustomer[req.Customer] >= openLimit:
-		return fault.OverLimit, fmt.Sprintf("customer %s has %d open requests, its share here", req.Customer, openLimit)
+		return fault.OverLimit, fmt.Sprintf("customer %s has %d open requests, its limit at this entry", req.Customer, openLimit)
 	case c.waiting >= c.opts.QueueLimit:
-		return fault.QueueFull, fmt.Sprintf("%d requests wait", c.waiting)
+		return fault.QueueFull, fmt.Sprintf("%d requests are waiting", c.waiting)
 	case !c.view.ServesModel(req.Model):
-		return fault.NoServer, "no server of model " + req.Model + " is in reach"
+		return fault.NoServer, "no pair of connected servers has model " + req.Model
 	}
 	return nil, ""
 }
@@ -58,8 +58,8 @@
 	c.waiting++
 }
 
-// due0 is the deadline that orders the queue. A request that ran before keeps
-// its place at the front.
+// queueDeadline returns the deadline by which the queue orders the request. A
+// retry counts as due at its arrival, so it goes to the front.
 func (r *request) queueDeadline() time.Time {
 	if r.ran {
 		return r.arrived
@@ -67,8 +67,9 @@
 	return r.deadline
 }
 
-// until is when a waiting request is given up. One that ran has cost a prefill
-// already, and one whose caller has tokens would be cut, so they wait on.
+// queueExpiry returns when the request is dropped from the queue. A retry may
+// wait longer than a new request: it has cost a prefill already, and if its
+// caller has received tokens, dropping it would cut off the answer.
 func (r *request) queueExpiry(now time.Time) time.Time {
 	switch {
 	case !r.ran:
@@ -79,7 +80,8 @@
 	return r.arrived.Add(max(retryTTFTFactor*r.TTFT, minRetryTime))
 }
 
-// refuse ends a request that did not run.
+// refuse ends a request that did not run; after is the time after which the
+// caller should retry.
 func (c *Core) refuse(now time.Time, r *request, code *fault.Code, detail string, after time.Duration) {
 	c.stats.Refused++
 	c.addStep(now, r, decision.Step{Kind: decision.Refused, Detail: code.ID + ": " + detail})
@@ -87,7 +89,7 @@
 	c.remove(r)
 }
 
-// forget drops a request that has ended.
+// remove deletes a request that has ended.
 func (c *Core) remove(r *request) {
 	if c.reqs[r.ID] != r {
 		return
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkRecords measures the memory of a decision record of a request that
-// took the whole path.
+// BenchmarkRecords measures the memory of the decision record of a request that
+// completed.
 func BenchmarkRecords(b *testing.B) {
 	const records = 4096
 	heap := func() float64 {
--- a/router/core.go
+++ b/router/core.go
@@ -13,36 +13,36 @@
 	"github.com/ledgepin/ledgepin/retry"
 )
 
-// phase is how far a request has come.
+// phase is the current phase of a request.
 type phase uint8
 
 const (
 	queued phase = iota
 	reserving
 	prefilling
-	seeking   // has a KV cache and looks for a decode slot
+	seeking   // the prefill is done and a decode slot is needed
 	importing // the decode engine fetches the KV cache
 	decoding
 	ended
 )
 
-// String returns the name of the phase.
+// String returns the phase as the state dump shows it.
 func (p phase) String() string {
 	return [...]string{"queued", "reserving", "prefilling", "seeking", "importing", "decoding", "ended"}[p]
 }
 
-// half is one server of an attempt.
+// reservation is the slot of an attempt at its prefill or its decode server.
 type reservation struct {
 	server *placement.Server
-	// held tells that the entry counts a slot at the server as its own.
+	// held reports whether the view counts the slot as used by this entry.
 	held bool
-	// given tells that the agent has granted the reservation.
-	granted bool
-	// refused tells that the agent has not.
+	// granted and rejected are the agent's answer; both are false until it
+	// arrives.
+	granted  bool
 	rejected bool
 }
 
-// request is one request in the router's hands.
+// request is the state of an open request.
 type request struct {
 	Request
 	arrived         time.Time
@@ -50,34 +50,36 @@
 	phase           phase
 	attempt         uint32
 	prefill, decode reservation
-	// lead is when the decode slot of a long prefill is to be reserved; zero if
-	// it is reserved from the start.
+	// reserveDecodeAt is when to reserve the decode slot of a long prefill; zero
+	// if the slot is reserved together with the prefill slot.
 	reserveDecodeAt time.Time
-	// work is the prefill work of this attempt in tokens.
+	// prefillTokens is the prefill work of this attempt, without the expected
+	// cached tokens.
 	prefillTokens int
 	kv            engine.KV
-	kvAttempt     lease.ID
+	kvAttempt     lease.ID // the attempt whose prefill produced kv
 	kvExpires     time.Time
-	// ran tells that an engine was asked to work.
+	// ran reports whether a prefill was started in any attempt.
 	ran bool
-	// sofar counts the tokens that the caller has.
+	// generated is the number of tokens that the caller has received.
 	generated    int
 	firstTokenAt time.Time
-	avoid        string
-	refusals     int
+	avoid        string // the server that failed the request last
+	refusals     int    // reservations rejected by agents in a row
 	record       *decision.Record
 	timerAt      time.Time
 	stalledAt    time.Time // when a running prefill counts as stalled
-	timerIndex   int
-	lastTokenAt  time.Time
+	timerIndex   int       // index in the heap of timers, or -1
+	lastTokenAt  time.Time // end of the transfer until the first token arrives
 	transferAt   time.Time
-	transferring bool // a transfer is counted on the links
+	transferring bool // whether the view counts a transfer on both links
 }
 
-// id names the present attempt.
+// id returns the ID of the current attempt.
 func (r *request) id() lease.ID { return lease.ID{Req: r.ID, Attempt: r.attempt} }
 
-// query returns what the next choice has to serve.
+// query returns the query for the next choice of servers. The tokens that the
+// caller has received are part of the prompt of a retry.
 func (r *request) query() placement.Query {
 	return placement.Query{
 		Model: r.Model, Priority: r.Priority, Tokens: r.Tokens + r.generated, Prefixes: r.Prefixes,
@@ -85,7 +87,7 @@
 	}
 }
 
-// Core is the state of the router. It is not safe for concurrent use.
+// Core is the state machine of the router. It is not safe for concurrent use.
 type Core struct {
 	opts           Options
 	view           *placement.View
@@ -104,7 +106,7 @@
 	lastShed       time.Time
 }
 
-// New returns a router over a view of the servers.
+// New returns a Core that places requests on the servers of view.
 func New(view *placement.View, o Options) *Core {
 	c := &Core{
 		opts: o, view: view, queues: map[string]*admission.Queue{}, reqs: map[string]*request{},
@@ -117,7 +119,7 @@
 	return c
 }
 
-// SetLimits takes new limits from the settings.
+// SetLimits changes the limits that come from the settings.
 func (c *Core) SetLimits(queueLimit, retryPercent int, stallAfter time.Duration) {
 	c.opts.QueueLimit = queueLimit
 	c.opts.StallAfter = stallAfter
@@ -127,37 +129,38 @@
 // SetDraining makes the router refuse all new requests.
 func (c *Core) SetDraining() { c.draining = true }
 
-// View returns the view of the servers; the caller must hold the same lock as
-// for the Core.
+// View returns the view of the servers. It must be guarded by the same lock as
+// the Core.
 func (c *Core) View() *placement.View { return c.view }
 
-// Stats returns the counts.
+// Stats returns the counters since the start.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Open counts the requests that have not ended.
+// Open returns the number of open requests.
 func (c *Core) Open() int { return len(c.reqs) }
 
-// Waiting counts the requests in the queues.
+// Waiting returns the number of requests in the queues.
 func (c *Core) Waiting() int { return c.waiting }
 
-// OpenOf counts the open requests of a customer.
+// OpenOf returns the number of open requests of a customer.
 func (c *Core) OpenOf(customer string) int { return c.openByCustomer[customer] }
 
-// OpenByCustomer counts the open requests of each customer.
+// OpenByCustomer returns the number of open requests of each customer.
 func (c *Core) OpenByCustomer() map[string]int { return maps.Clone(c.openByCustomer) }
 
-// Explain returns the record of a request.
+// Explain returns the decision record of a request, if it is still kept.
 func (c *Core) Explain(id string) (decision.Record, bool) { return c.records.Find(id) }
 
-// Budget returns the counts of retries allowed and denied.
+// RetryCounts returns how many retries the budget allowed and denied.
 func (c *Core) RetryCounts() (spent, denied int) { return c.budget.Counts() }
 
-// TakeRetry takes one retry out of the budget, for a plain call.
+// TakeRetry takes one retry from the budget, for a call that does not go through
+// the queues. It reports whether the budget allows it.
 func (c *Core) TakeRetry() bool { return c.budget.Take() }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// take returns the effects gathered by a call.
+// takeEffects returns the effects collected since the last call and clears them.
 func (c *Core) takeEffects() []Effect {
 	out := c.effects
 	c.effects = nil
@@ -180,7 +183,7 @@
 	return q
 }
 
-// current returns the request whose present attempt is id, or nil.
+// current returns the request whose current attempt is id, or nil.
 func (c *Core) current(id lease.ID) *request {
 	r := c.reqs[id.Req]
 	if r == nil || r.attempt != id.Attempt {
@@ -189,7 +192,7 @@
 	return r
 }
 
-// setDue sets the moment at which Tick looks at the request again.
+// setTimer sets the time at which Tick calls timeout for the request.
 func (c *Core) setTimer(r *request, at time.Time) {
 	r.timerAt = at
 	if r.timerIndex < 0 {
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,11 +1,13 @@
-// Package router decides what becomes of each request at an entry: it admits,
-// defers or refuses it, reserves its prefill and decode slots, follows it
-// through prefill, transfer and decode, and retries what failed.
+// Package router schedules the requests of an entry: it admits, queues or
+// refuses each request, reserves its prefill and decode slots, tracks it
+// through prefill, transfer and decode, and retries after failures.
 //
-// Core is plain state. Every call takes the time and what has happened, and
-// returns effects for the shell to carry out. The same code runs in the entry,
-// in the tests and in the policy benchmark on virtual time.
+// Core is a state machine without I/O. Each method takes the current time and
+// an event, and returns the effects that the caller of the package has to
+// carry out. The entry, the tests and the policy benchmark, which runs on
+// virtual time, share this code.
 //
-// A decode slot is reserved before a prefill starts, because the result of a
-// prefill lives only a few seconds and decode is nearly full at the peak.
+// A decode slot is reserved before the prefill starts, because the result of a
+// prefill expires after a few seconds and decode slots are nearly all in use at
+// peak load.
 package router
--- a/router/failure.go
+++ b/router/failure.go
@@ -8,8 +8,8 @@
 	"github.com/ledgepin/ledgepin/lease"
 )
 
-// Failed takes the failure of one half of an attempt. Blame tells that the
-// server itself is at fault.
+// Failed handles a failure of an attempt at one of its servers. If blame is
+// set, the server caused it and the failure counts towards its ejection.
 func (c *Core) Failed(now time.Time, server string, id lease.ID, step fault.Step, detail string, blame bool) []Effect {
 	r := c.current(id)
 	if r == nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// lostReservation handles a server that went away before any work.
+// lostReservation handles a failure before any work started.
 func (c *Core) lostReservation(now time.Time, r *request, server string) {
 	r.avoid = server
 	c.releasePrefill(r, true)
@@ -53,7 +53,8 @@
 }
 
 // lostPrefill handles a failure while the prefill runs. If only the decode
-// server is lost, the prefill goes on and another slot is sought at its end.
+// server failed, the prefill continues and another decode slot is reserved when
+// it ends.
 func (c *Core) lostPrefill(now time.Time, r *request, atDecode bool, server string) {
 	if atDecode && r.prefill.server.Name != server {
 		c.releaseDecode(r, true)
@@ -68,7 +69,7 @@
 	c.requeue(now, r, "the prefill failed")
 }
 
-// lostWhileSeeking handles a failure while a decode slot is sought.
+// lostWhileSeeking handles a failure during the search for a decode slot.
 func (c *Core) lostWhileSeeking(now time.Time, r *request, atDecode bool) {
 	if atDecode {
 		c.releaseDecode(r, true)
@@ -82,7 +83,8 @@
 	c.requeue(now, r, "the prefill server was lost before the transfer")
 }
 
-// lostTransfer tries another decode server while the KV cache lives.
+// lostTransfer handles a failure of the transfer. It retries at another decode
+// server if the prefill server still has the KV cache.
 func (c *Core) lostTransfer(now time.Time, r *request, atDecode bool, server string) {
 	c.releaseDecode(r, true)
 	if atDecode && c.view.Server(r.prefill.server.Name) == r.prefill.server && r.prefill.server.Connected() && c.budget.Take() {
@@ -98,16 +100,17 @@
 	c.requeue(now, r, "the transfer failed")
 }
 
-// renew starts a new attempt for the decode half, so that chunks of the lost
-// one are dropped. The KV cache stays at the prefill server under the attempt
-// that made it.
+// startDecodeAttempt starts a new attempt for the decode, so that late chunks
+// of the failed one are dropped. The prefill server keeps the KV cache under the
+// attempt that produced it.
 func (c *Core) startDecodeAttempt(r *request) {
 	r.attempt++
 	r.decode = reservation{}
 	c.emit(SwitchAttempt{ID: r.id()})
 }
 
-// lostDecode goes on at another server with the tokens so far as prompt.
+// lostDecode handles a failure of the decode. The retry has the tokens generated
+// so far in its prompt.
 func (c *Core) lostDecode(now time.Time, r *request, server string) {
 	c.addWaste(r, WasteDecodeFailed)
 	r.avoid = server
@@ -115,11 +118,11 @@
 	c.requeue(now, r, "the decode server failed")
 }
 
-// waste counts prefill work that was thrown away.
+// addWaste counts the prefill work of the current attempt as wasted.
 func (c *Core) addWaste(r *request, cause WasteCause) { c.stats.WastedTokens[cause] += r.prefillTokens }
 
-// again puts a request that ran back into the queue, or ends it if the budget
-// or its time is used up.
+// requeue puts a request that ran back into the queue, or fails it if the retry
+// budget or its time is exhausted.
 func (c *Core) requeue(now time.Time, r *request, detail string) {
 	c.stopTimer(r)
 	if now.After(r.queueExpiry(now)) || !c.budget.Take() {
@@ -150,27 +153,27 @@
 	return fault.StepReserve
 }
 
-// ServerDown takes the loss of the link to a server's agent: everything at it
-// has failed.
+// ServerDown handles the permanent loss of the link to a server's agent: all
+// attempts at the server have failed.
 func (c *Core) ServerDown(now time.Time, server string) []Effect {
 	c.view.SetConnected(server, false)
 	for _, id := range sortedKeys(c.reqs) {
 		r := c.reqs[id]
 		if r != nil && r.uses(server) {
-			c.failed(now, r, server, fault.StepLink, "the link to its agent is lost", false)
+			c.failed(now, r, server, fault.StepLink, "the link to its agent was lost", false)
 		}
 	}
 	return c.takeEffects()
 }
 
-// ServerUp takes a new link to a server's agent.
+// ServerUp handles a new link to a server's agent.
 func (c *Core) ServerUp(now time.Time, server string) []Effect {
 	c.view.SetConnected(server, true)
 	c.scheduleAll(now)
 	return c.takeEffects()
 }
 
-// uses tells whether the present attempt needs a server.
+// uses reports whether the current attempt needs a server.
 func (r *request) uses(server string) bool {
 	if r.decode.held && r.decode.server.Name == server {
 		return true
@@ -179,15 +182,15 @@
 	return needsKV && r.prefill.server != nil && r.prefill.server.Name == server
 }
 
-// Cancel takes the loss of the caller. Work of a class that keeps running
-// goes on.
+// Cancel ends a request whose caller disconnected. A request with Keep continues
+// once it has left the queue.
 func (c *Core) Cancel(now time.Time, req string) []Effect {
 	r := c.reqs[req]
 	if r == nil || r.Keep && r.phase != queued {
 		return c.takeEffects()
 	}
 	c.stats.Cancelled++
-	c.addStep(now, r, decision.Step{Kind: decision.Cancelled, Detail: "the caller is gone while " + r.phase.String()})
+	c.addStep(now, r, decision.Step{Kind: decision.Cancelled, Detail: "the caller disconnected while " + r.phase.String()})
 	if r.phase == queued {
 		c.removeQueued(c.queue(r.Model), r)
 	}
@@ -205,23 +208,26 @@
 	return c.takeEffects()
 }
 
-// holdsKV tells whether the prefill server keeps a result for the request.
+// holdsKV reports whether the prefill server holds a KV cache for the request.
 func (r *request) holdsKV() bool { return r.phase == seeking || r.phase == importing }
 
-// Rejoined names an attempt that goes on over a new link to its agent.
+// ResumableAttempt identifies an attempt that continues over a new link to the
+// agent.
 type ResumableAttempt struct {
 	ID lease.ID
-	// Decode tells that chunks are expected, not the result of a prefill.
+	// Decode reports whether the attempt waits for chunks of a decode rather than
+	// for the result of a prefill.
 	Decode bool
 	Keep   bool
 }
 
-// LinkLost takes the loss of a link that may come back soon: the server gets
-// no new work, and what it runs goes on.
+// LinkLost handles the loss of a link that may be restored soon: the server gets
+// no new work, and the attempts there continue.
 func (c *Core) LinkLost(server string) { c.view.SetConnected(server, false) }
 
-// Rejoin takes a new link to an agent and lists the attempts to resume there.
-// Reservations whose answer may be lost are given up.
+// LinkRestored handles a new link to an agent after LinkLost and returns the
+// attempts to resume there. Reservations fail, since the agent's answer may have
+// been lost with the old link.
 func (c *Core) LinkRestored(now time.Time, server string) ([]ResumableAttempt, []Effect) {
 	c.view.SetConnected(server, true)
 	var out []ResumableAttempt
--- a/router/progress.go
+++ b/router/progress.go
@@ -13,7 +13,8 @@
 	"github.com/ledgepin/ledgepin/placement"
 )
 
-// Reserved takes an agent's answer to a reservation.
+// Reserved handles an agent's answer to a reservation: whether it is granted,
+// the reason if not, and the current load of the server.
 func (c *Core) Reserved(now time.Time, server string, id lease.ID, ok bool, reason string, load placement.Load) []Effect {
 	c.view.Report(server, load)
 	r := c.current(id)
@@ -41,7 +42,8 @@
 	return c.takeEffects()
 }
 
-// halfAt returns the half of the present attempt at a server.
+// pendingReservation returns the reservation of the current attempt at a server,
+// or nil.
 func (c *Core) pendingReservation(r *request, server string) *reservation {
 	switch {
 	case r.prefill.held && !r.prefill.granted && r.prefill.server.Name == server:
@@ -52,7 +54,9 @@
 	return nil
 }
 
-// notGiven goes back to the queue, or to the search for a decode slot.
+// reservationRefused handles a rejected reservation. A request that seeks a
+// decode slot tries another server, one in prefill does so when the prefill
+// ends, and one that has not started goes back to the queue.
 func (c *Core) reservationRefused(now time.Time, r *request, h *reservation, reason string) {
 	h.rejected = true
 	r.refusals++
@@ -89,8 +93,8 @@
 	c.setPrefillTimer(r)
 }
 
-// watchPrefill sets the moment at which a running prefill is looked at: to
-// reserve its decode slot, or to give it up as stalled.
+// setPrefillTimer sets the timer of a running prefill to the time at which its
+// decode slot is reserved or, if that is done, at which it counts as stalled.
 func (c *Core) setPrefillTimer(r *request) {
 	if !r.reserveDecodeAt.IsZero() && r.reserveDecodeAt.Before(r.stalledAt) {
 		c.setTimer(r, r.reserveDecodeAt)
@@ -99,8 +103,8 @@
 	c.setTimer(r, r.stalledAt)
 }
 
-// reserveLate reserves the decode slot of a long prefill that is about to end.
-// If there is none now, it is sought when the prefill has ended.
+// reserveDecodeSlot reserves the decode slot of a long prefill that is about to
+// end. If no slot is free, the search continues when the prefill has ended.
 func (c *Core) reserveDecodeSlot(now time.Time, r *request) {
 	r.reserveDecodeAt = time.Time{}
 	if s := c.opts.Policy.ChooseDecode(c.view, now, r.query(), r.prefill.server); s != nil {
@@ -110,15 +114,16 @@
 	c.setPrefillTimer(r)
 }
 
-// prefillLimit is the time after which a prefill counts as stalled. Work of a
-// higher priority may hold it up for long, so it is generous.
+// prefillLimit returns the time after which a prefill counts as stalled. It is
+// several times the expected time, since requests with a higher priority can
+// delay the prefill for long.
 func (c *Core) prefillLimit(r *request) time.Duration {
 	need := time.Duration(float64(r.prefillTokens) / max(r.prefill.server.Rate(), 1) * float64(time.Second))
 	return 8*need + retryTTFTFactor*r.TTFT + c.opts.StallAfter
 }
 
-// Prefilled takes the result of a prefill. Took is the time that the engine
-// worked on it.
+// Prefilled handles the result of a prefill: the KV cache, the number of prompt
+// tokens found in the engine's cache, and the time that the engine worked on it.
 func (c *Core) Prefilled(now time.Time, server string, id lease.ID, kv engine.KV, cached int, engineTime time.Duration) []Effect {
 	r := c.current(id)
 	if r == nil || r.phase != prefilling {
@@ -130,13 +135,14 @@
 		Detail: fmt.Sprintf("%d tokens, %d of them cached, in %s", kv.Tokens, cached, engineTime.Round(time.Millisecond))})
 	r.kv, r.kvAttempt = kv, r.id()
 	r.kvExpires = now.Add(kv.TTL)
-	// The engine is done with the work, though it still holds the result.
+	// The slot is free for another prefill, though the engine still holds the
+	// KV cache.
 	c.view.PrefillReleased(r.prefill.server, r.Priority, r.prefillTokens)
 	r.prefill.held = false
 	switch {
 	case r.decode.granted:
 		c.beginTransfer(now, r)
-	case r.decode.held: // its reservation is on the way
+	case r.decode.held: // the agent has not answered yet
 		r.phase = seeking
 		c.setTimer(r, now.Add(reserveTimeout))
 	default:
@@ -146,11 +152,13 @@
 	return c.takeEffects()
 }
 
-// urgent is the priority at which a slot is reserved for a KV cache that is
-// there, or nearly so: it may take the last slot, because it would be lost.
+// urgentPriority is the priority of a decode reservation for a KV cache that
+// exists or is about to: it may use the last slot, since the KV cache would
+// expire otherwise.
 const urgentPriority = 0
 
-// seek looks for a decode slot for a KV cache that is there.
+// seekDecode reserves a decode slot for a finished prefill. If none is free, the
+// request waits in awaitingDecode.
 func (c *Core) seekDecode(now time.Time, r *request) {
 	r.phase = seeking
 	if now.Add(transferTime(r)).After(r.kvExpires) {
@@ -159,7 +167,7 @@
 	}
 	if r.refusals <= maxRefusals {
 		if s := c.opts.Policy.ChooseDecode(c.view, now, r.query(), r.prefill.server); s != nil {
-			c.addStep(now, r, decision.Step{Kind: decision.Chosen, Server: s.Name, Detail: "decode slot for the prefill at hand"})
+			c.addStep(now, r, decision.Step{Kind: decision.Chosen, Server: s.Name, Detail: "decode slot for the finished prefill"})
 			c.reserveDecode(r, s, urgentPriority, reservationMargin)
 			c.setTimer(r, now.Add(reserveTimeout))
 			return
@@ -170,12 +178,13 @@
 	c.stopTimer(r)
 }
 
-// transferTime estimates the transfer without a wait for the link.
+// transferTime returns the shortest time that the transfer can take, with the
+// link of the prefill server to itself.
 func transferTime(r *request) time.Duration {
 	return time.Duration(float64(r.KVBytes) / max(r.prefill.server.LinkRate, 1) * float64(time.Second))
 }
 
-// expired gives up a KV cache that no decode server could take in time.
+// kvExpired releases a KV cache for which no decode slot was free in time.
 func (c *Core) kvExpired(now time.Time, r *request) {
 	delete(c.awaitingDecode, r.ID)
 	c.addWaste(r, WasteKVExpired)
@@ -183,7 +192,7 @@
 	c.requeue(now, r, "the prefill expired before a decode slot was free")
 }
 
-// freeKV tells the prefill server that its result is not needed any more.
+// releaseKV releases the KV cache at the prefill server.
 func (c *Core) releaseKV(r *request) {
 	c.emit(Release{ID: r.kvAttempt, Server: r.prefill.server.Name})
 }
@@ -202,19 +211,21 @@
 	c.setTimer(r, now.Add(c.stallLimit(now, r, expected)))
 }
 
-// stallFactor is how many times the expected time a transfer may take: others
-// may join it on the link.
+// stallFactor is the number of times the expected time that a transfer may take:
+// other transfers may start on the same link.
 const stallFactor = 4
 
-// stallLimit is how long a transfer that should take a time may take. It leaves
-// room for a second one while the KV cache lives, if it can.
+// stallLimit returns the time after which a transfer counts as stalled. Where
+// possible, it leaves enough time for a second transfer before the KV cache
+// expires.
 func (c *Core) stallLimit(now time.Time, r *request, expected time.Duration) time.Duration {
 	limit := stallFactor*expected + c.opts.StallAfter
 	remaining := r.kvExpires.Sub(now) - 2*expected
 	return min(limit, max(remaining, 2*expected))
 }
 
-// endMove notes that a transfer has ended in whatever way.
+// endTransfer removes a transfer that completed or failed from the load of its
+// links.
 func (c *Core) endTransfer(r *request) {
 	if r.transferring {
 		r.transferring = false
@@ -222,8 +233,8 @@
 	}
 }
 
-// Imported tells that the decode engine has the KV cache, so the prefill
-// engine may drop it.
+// Imported handles the end of the transfer: the decode engine has the KV cache,
+// so the prefill engine may drop it.
 func (c *Core) Imported(now time.Time, server string, id lease.ID) []Effect {
 	r := c.current(id)
 	if r == nil || r.phase != importing {
@@ -238,12 +249,13 @@
 	return c.takeEffects()
 }
 
-// decodeLimit is the silence after which a decode counts as stalled.
+// decodeLimit returns the time without a token after which a decode counts as
+// stalled.
 func decodeLimit(r *request) time.Duration {
 	return max(20*r.TBT, 3*time.Second)
 }
 
-// Token tells that a token came; the caller has count tokens now.
+// Token handles a token; count is the number of tokens that the caller has now.
 func (c *Core) Token(now time.Time, id lease.ID, count int) []Effect {
 	r := c.current(id)
 	if r == nil || r.phase != decoding {
@@ -259,8 +271,8 @@
 	return nil
 }
 
-// Done ends a request whose answer is whole. PerToken is the mean time between
-// its tokens.
+// Done ends a request whose answer is complete. perToken is the mean time
+// between its tokens.
 func (c *Core) Done(now time.Time, id lease.ID, perToken time.Duration) []Effect {
 	r := c.current(id)
 	if r == nil || r.phase != decoding {
@@ -276,7 +288,8 @@
 	return c.takeEffects()
 }
 
-// wakeSeekers lets requests with a KV cache look for a decode slot again.
+// retryDecodeSearch tries again to reserve a decode slot for the requests whose
+// prefill is done, ordered by priority and deadline.
 func (c *Core) retryDecodeSearch(now time.Time) {
 	if len(c.awaitingDecode) == 0 {
 		return
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -11,18 +11,22 @@
 )
 
 const (
-	// holdSpare is added to the time for which a decode slot is reserved.
+	// reservationMargin is added to the expected time for which a slot waits for
+	// its work.
 	reservationMargin = 2 * time.Second
-	// lateFactor bounds, in targets, how long a request that ran is tried.
+	// retryTTFTFactor is the number of TTFT targets after its arrival for which a
+	// request that ran is retried.
 	retryTTFTFactor = 4
-	// minLate is the least time for which such a request is tried.
+	// minRetryTime is the minimum of that time.
 	minRetryTime = 5 * time.Second
-	// maxRefusals bounds the reservations that agents may refuse in a row
-	// before the request waits for the next tick.
+	// maxRefusals is the number of reservations of a request that agents may
+	// reject in a row before the request waits for the next tick.
 	maxRefusals = 8
 )
 
-// schedule starts as many waiting requests of a model as servers can take.
+// schedule starts waiting requests of a model while servers have capacity. If
+// the first request of a priority can't start, it continues with the next lower
+// priority.
 func (c *Core) schedule(now time.Time, model string) {
 	q := c.queue(model)
 	for level := 0; ; {
@@ -41,8 +45,8 @@
 	}
 }
 
-// start tries to place a waiting request. It reports false if the request has
-// to wait on.
+// start reserves slots for a waiting request, or refuses it if it would miss its
+// deadline. It reports whether the request left the queue.
 func (c *Core) start(now time.Time, q *admission.Queue, r *request) bool {
 	choice := c.opts.Policy.Choose(c.view, now, r.query())
 	if choice.Prefill == nil || (choice.Decode == nil && c.opts.Policy.ReserveDecodeFirst) {
@@ -51,7 +55,7 @@
 	if c.missesDeadline(now, r, choice.FirstTokenTime) {
 		c.removeQueued(q, r)
 		c.refuse(now, r, fault.TargetOutOfReach,
-			fmt.Sprintf("first token in %s at the soonest", choice.FirstTokenTime.Round(time.Millisecond)), c.retryAfter(r))
+			fmt.Sprintf("first token in %s at the earliest", choice.FirstTokenTime.Round(time.Millisecond)), c.retryAfter(r))
 		return true
 	}
 	q.Dequeue(r.ID)
@@ -61,13 +65,14 @@
 	return true
 }
 
-// late tells whether a request that has not run would miss its target.
+// missesDeadline reports whether a request that has not run would miss its
+// deadline if its first token takes that long from now.
 func (c *Core) missesDeadline(now time.Time, r *request, firstToken time.Duration) bool {
 	return c.opts.Policy.EnforceDeadlines && !r.ran && now.Add(firstToken).After(r.deadline)
 }
 
-// hopeless refuses a request whose target is out of reach even if a server
-// were idle now; it reports whether it did.
+// refuseIfTooLate refuses a request that would miss its deadline even on an idle
+// server, and reports whether it did.
 func (c *Core) refuseIfTooLate(now time.Time, q *admission.Queue, r *request) bool {
 	firstToken := c.view.MinTTFT(now, r.query())
 	if !c.missesDeadline(now, r, firstToken) {
@@ -84,7 +89,8 @@
 	}
 }
 
-// comeBack estimates when the work that waits now is done.
+// retryAfter estimates the time until the work that waits now is done, between a
+// second and a minute.
 func (c *Core) retryAfter(r *request) time.Duration {
 	rate := c.serviceRateOf(r.Model, r.Priority).mean
 	if rate <= 0 {
@@ -94,7 +100,8 @@
 	return min(max(wait, time.Second), time.Minute)
 }
 
-// reserve asks both agents for their slots at the same time.
+// reserve starts an attempt: it requests the prefill slot and, unless the
+// prefill is long, the decode slot at the same time.
 func (c *Core) reserve(now time.Time, r *request, choice placement.Choice) {
 	r.attempt++
 	r.phase = reserving
@@ -119,26 +126,28 @@
 }
 
 const (
-	// longPrefill is the time to the first token from which on the decode slot
-	// is reserved only shortly before the prefill ends: a slot that is held
-	// through a long prefill is lost to others.
+	// longPrefill is the expected time to the first token from which on the
+	// decode slot is reserved only shortly before the prefill ends: a slot that is
+	// held during a long prefill is not available to other requests.
 	longPrefill = 600 * time.Millisecond
-	// reserveLead is how long before the expected end it is then reserved.
+	// reserveLead is how long before the expected end of a long prefill the
+	// decode slot is reserved.
 	reserveLead = 300 * time.Millisecond
 )
 
-// reserveTimeout is how long an agent may take to answer a reservation.
+// reserveTimeout is the time within which an agent must answer a reservation.
 const reserveTimeout = 500 * time.Millisecond
 
-// holdDecode reserves a decode slot. The priority decides how many slots must
-// stay free for others.
+// reserveDecode requests a decode slot. The priority determines how many slots
+// of the server must stay free.
 func (c *Core) reserveDecode(r *request, s *placement.Server, priority int, hold time.Duration) {
 	r.decode = reservation{server: s, held: true}
 	c.view.SlotReserved(s)
 	c.emit(Reserve{ID: r.id(), Server: s.Name, Role: Decode, Model: r.Model, Priority: priority, Hold: hold, Keep: r.Keep})
 }
 
-// freePrefill gives up the prefill half. If tell is set, the agent is told.
+// releasePrefill releases the prefill slot, and notifies the agent if notify is
+// set.
 func (c *Core) releasePrefill(r *request, notify bool) {
 	if !r.prefill.held {
 		return
@@ -150,7 +159,8 @@
 	}
 }
 
-// freeDecode gives up the decode half.
+// releaseDecode releases the decode slot, and notifies the agent if notify is
+// set.
 func (c *Core) releaseDecode(r *request, notify bool) {
 	if !r.decode.held {
 		return
--- a/router/tick.go
+++ b/router/tick.go
@@ -11,14 +11,15 @@
 	"github.com/ledgepin/ledgepin/placement"
 )
 
-// TickEvery is how often the shell should call Tick.
+// TickInterval is the interval at which Tick should be called.
 const TickInterval = 5 * time.Millisecond
 
-// shedEvery is how often the queues are looked through for requests that
-// can't meet their target.
+// shedInterval is the interval at which the queues are searched for requests
+// that can't meet their deadline.
 const shedInterval = 50 * time.Millisecond
 
-// Tick does what is due: stalled work, requests without hope, waiting ones.
+// Tick handles expired timers, refuses requests that can't meet their deadline,
+// and starts waiting requests.
 func (c *Core) Tick(now time.Time) []Effect {
 	for c.timers.Len() > 0 && !c.timers.First().timerAt.After(now) {
 		c.timeout(now, c.timers.First())
@@ -32,7 +33,7 @@
 	return c.takeEffects()
 }
 
-// Report takes a load report of a server.
+// Report handles a load report of a server.
 func (c *Core) Report(now time.Time, server string, load placement.Load) []Effect {
 	c.view.Report(server, load)
 	c.scheduleAll(now)
@@ -49,7 +50,8 @@
 	}
 }
 
-// forgive lets requests that agents refused too often try again.
+// resetRefusals lets the first request of each priority try again if agents
+// rejected too many of its reservations.
 func (c *Core) resetRefusals(model string) {
 	for level := 0; level < placement.Priorities; level++ {
 		if item := c.queue(model).Peek(level); item != nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-// timeout handles a request whose present phase takes too long.
+// timeout handles the expired timer of a request.
 func (c *Core) timeout(now time.Time, r *request) {
 	c.stopTimer(r)
 	switch r.phase {
@@ -79,6 +81,8 @@
 	}
 }
 
+// reservationTimedOut blames the decode server if the prefill slot is granted,
+// and the prefill server otherwise.
 func (c *Core) reservationTimedOut(now time.Time, r *request) {
 	slow := r.prefill.server
 	if r.prefill.granted && r.decode.server != nil {
@@ -87,7 +91,8 @@
 	c.failed(now, r, slow.Name, fault.StepReserve, "no answer to the reservation", true)
 }
 
-// quietDecode fails a decode only if no token came since the timer was set.
+// checkDecodeStall fails a decode that produced no token for decodeLimit, and
+// sets the timer again otherwise.
 func (c *Core) checkDecodeStall(now time.Time, r *request) {
 	end := r.lastTokenAt.Add(decodeLimit(r))
 	if now.Before(end) {
@@ -97,9 +102,9 @@
 	c.failed(now, r, r.decode.server.Name, fault.StepDecode, "no token for "+decodeLimit(r).String(), true)
 }
 
-// shed refuses waiting requests that can't meet their target: those for which
-// even an idle server is too slow now, and, where a queue is served too slowly
-// for all, the largest.
+// shed refuses waiting requests that can't meet their deadline: those that would
+// be late even on an idle server and, if a queue is served too slowly for all
+// its requests, the largest ones.
 func (c *Core) shed(now time.Time) {
 	if !c.opts.Policy.EnforceDeadlines {
 		return
@@ -136,10 +141,10 @@
 		c.fail(now, r, "no server was free for the retry in time")
 		return
 	}
-	c.refuse(now, r, fault.TargetOutOfReach, "the queue can't serve all in time", c.retryAfter(r))
+	c.refuse(now, r, fault.TargetOutOfReach, "the queue can't serve all requests in time", c.retryAfter(r))
 }
 
-// State is one row of the state dump.
+// RequestState is one row of the state dump.
 type RequestState struct {
 	ID       string        `json:"id"`
 	Customer string        `json:"customer"`
@@ -151,10 +156,10 @@
 	Age      time.Duration `json:"age_ns"`
 }
 
-// maxDump bounds the rows of a state dump.
+// maxDump is the maximum number of rows of a state dump.
 const maxDump = 1000
 
-// Dump lists open requests, the oldest first.
+// Dump returns the open requests, the oldest first.
 func (c *Core) Dump(now time.Time) []RequestState {
 	out := make([]RequestState, 0, len(c.reqs))
 	for _, r := range c.reqs {
@@ -173,27 +178,28 @@
 	return out[:min(len(out), maxDump)]
 }
 
-// rateKey names a level of a model's queue.
+// rateKey identifies the requests of one priority in a model's queue.
 type rateKey struct {
 	model    string
 	priority int
 }
 
-// drain measures how much work a queue gives to the servers in a second. Only
-// time in which something waits counts: a queue that runs empty tells nothing
-// of how fast it could be served.
+// serviceRate measures the prefill tokens a second that a queue starts on the
+// servers. Only time in which requests wait counts: an empty queue gives no
+// evidence of how fast it could be served.
 type serviceRate struct {
 	windowStart time.Time
 	tokens      float64
 	mean        float64
 }
 
-// drainWindow is the time over which the rate is measured.
+// rateWindow is the time over which the rate is measured.
 const rateWindow = time.Second
 
 func (d *serviceRate) add(tokens int) { d.tokens += float64(tokens) }
 
-// watch closes a window that is over, or drops all if nothing waits.
+// update updates the mean at the end of a window, or resets it if no request
+// waits.
 func (d *serviceRate) update(now time.Time, waiting bool) {
 	if !waiting {
 		*d = serviceRate{windowStart: now}
--- a/router/types.go
+++ b/router/types.go
@@ -9,7 +9,7 @@
 	"github.com/ledgepin/ledgepin/placement"
 )
 
-// Request is a request as the router sees it.
+// Request holds what the router needs to know about a request.
 type Request struct {
 	ID       string
 	Customer string
@@ -17,32 +17,35 @@
 	Class    string
 	Model    string
 	Priority int
-	// Tokens is the estimated length of the prompt.
+	// Tokens is the estimated length of the prompt in tokens.
 	Tokens   int
 	Prefixes []uint64
 	KVBytes  int64
-	// TTFT and TBT are the targets of the class.
+	// TTFT and TBT are the targets of the class for the time to first token and
+	// the time between tokens.
 	TTFT, TBT time.Duration
-	// Keep lets the work go on after the caller has left.
+	// Keep lets the request continue after its caller disconnected.
 	Keep bool
 }
 
-// Role tells which half of the work a reservation is for.
+// Role is the stage of a request that a reservation is for.
 type Role uint8
 
-// The halves of the work.
+// The stages of a request.
 const (
 	Prefill Role = iota
 	Decode
 )
 
-// String returns the name of the role.
+// String returns the role in lower case.
 func (r Role) String() string { return [...]string{"prefill", "decode"}[r] }
 
-// Effect is something that the shell has to do. Its type tells what.
+// Effect is an action that the caller of a Core method must carry out, one of
+// the types below.
 type Effect interface{ effect() }
 
-// Reserve asks the agent beside Server for a slot.
+// Reserve requests a slot from the agent of Server, for at most Hold until the
+// work starts.
 type Reserve struct {
 	ID       lease.ID
 	Server   string
@@ -54,26 +57,26 @@
 	Keep     bool
 }
 
-// StartPrefill starts the prefill at Server.
+// StartPrefill starts the prefill of an attempt at Server.
 type StartPrefill struct {
 	ID     lease.ID
 	Server string
 }
 
-// StartDecode starts the transfer and the decode at Server.
+// StartDecode starts the transfer of KV to Server and the decode there.
 type StartDecode struct {
 	ID     lease.ID
 	Server string
 	KV     engine.KV
 }
 
-// Free gives up whatever the attempt holds at Server.
+// Release releases all that the attempt holds at Server.
 type Release struct {
 	ID     lease.ID
 	Server string
 }
 
-// Refuse tells the caller that the request did not run.
+// Refuse ends a request that did not run.
 type Refuse struct {
 	Req        string
 	Code       *fault.Code
@@ -81,7 +84,7 @@
 	RetryAfter time.Duration
 }
 
-// Fail ends a request that ran and has no whole answer.
+// Fail ends a request that ran and has no complete answer.
 type Fail struct {
 	Req    string
 	Code   *fault.Code
@@ -90,12 +93,12 @@
 	Detail string
 }
 
-// Attempt tells the stream that a newer attempt gives the chunks from now on.
+// SwitchAttempt makes the stream accept the chunks of a newer attempt only.
 type SwitchAttempt struct {
 	ID lease.ID
 }
 
-// EjectedServer tells that a server was ejected after failures.
+// ServerEjected reports that a server was ejected because of failures.
 type ServerEjected struct {
 	Server string
 }
@@ -109,25 +112,26 @@
 func (SwitchAttempt) effect() {}
 func (ServerEjected) effect() {}
 
-// Chooser picks servers for a request. The one of production is
-// placement.View.Choose; the policy benchmark has others to compare with.
+// Chooser chooses the servers of a request. Production uses
+// placement.View.Choose; the policy benchmark compares it with others.
 type Chooser func(v *placement.View, now time.Time, q placement.Query) placement.Choice
 
-// DecodeChooser picks a decode server for a KV cache that is there.
+// DecodeChooser chooses the decode server for a KV cache that the prefill
+// server from holds already.
 type DecodeChooser func(v *placement.View, now time.Time, q placement.Query, from *placement.Server) *placement.Server
 
-// Policy turns parts of the decisions off, so that the policy benchmark can
-// measure what each is worth.
+// Policy selects how servers are chosen and which rules apply, so that the
+// policy benchmark can measure the effect of each rule.
 type Policy struct {
 	Choose       Chooser
 	ChooseDecode DecodeChooser
-	// ReserveFirst holds a decode slot before the prefill starts.
+	// ReserveDecodeFirst reserves a decode slot before the prefill ends.
 	ReserveDecodeFirst bool
-	// Admit defers and refuses by deadline; without it all start at once.
+	// EnforceDeadlines refuses requests that would miss their deadline.
 	EnforceDeadlines bool
 }
 
-// DefaultPolicy is the one of production.
+// DefaultPolicy returns the policy of production.
 func DefaultPolicy() Policy {
 	choose := func(v *placement.View, now time.Time, q placement.Query) placement.Choice { return v.Choose(now, q) }
 	decode := func(v *placement.View, now time.Time, q placement.Query, from *placement.Server) *placement.Server {
@@ -137,31 +141,33 @@
 	return Policy{Choose: choose, ChooseDecode: decode, ReserveDecodeFirst: true, EnforceDeadlines: true}
 }
 
-// Options are the limits of one entry.
+// Options configures a Core.
 type Options struct {
 	Policy Policy
-	// QueueLimit bounds the waiting requests.
+	// QueueLimit is the maximum number of waiting requests.
 	QueueLimit int
-	// RetryPercent bounds retries to a share of live traffic.
+	// RetryPercent limits retries to a percentage of the requests.
 	RetryPercent int
-	// StallAfter is the silence after which a transfer is given up.
+	// StallAfter is added to the expected time of a prefill or a transfer to get
+	// the time after which it counts as stalled.
 	StallAfter time.Duration
-	// Records bounds the decision records.
+	// MaxRecords is the number of decision records that are kept.
 	MaxRecords int
-	// Name is the entry's name in the records.
+	// Name is the name of the entry in the records.
 	Name string
 }
 
-// Stats counts what the router did.
+// Stats counts the outcomes of requests and the prefill work.
 type Stats struct {
 	Admitted, Refused, Done, Failed, Cancelled int
-	// WastedTokens is prefill work whose result was thrown away, by cause.
+	// WastedTokens is the prefill work whose result was discarded, by cause.
 	WastedTokens map[WasteCause]int
-	// PrefillTokens is all prefill work that was started.
+	// PrefillTokens is the prefill work that was started.
 	PrefillTokens int
 }
 
-// Waste is why the result of a prefill was thrown away.
+// WasteCause is the reason why the result of a prefill was discarded. The values
+// are labels of a metric.
 type WasteCause string
 
 // The causes of wasted prefill.
