--- a/placement/choose.go
+++ b/placement/choose.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// Query is what a choice has to serve.
+// Query describes the request that servers are chosen for.
 type Query struct {
 	Model    string
 	Priority int
-	// Tokens is the prompt's length.
+	// Tokens is the length of the prompt in tokens.
 	Tokens   int
 	Prefixes []uint64
-	// KVBytes is the size of the KV cache to transfer.
+	// KVBytes is the size of the KV cache to transfer, in bytes.
 	KVBytes int64
 	// TBT is the target for the time between tokens.
 	TBT time.Duration
-	// Avoid names a server that just failed this request.
+	// Avoid is the name of a server that just failed this request, if any.
 	Avoid string
 }
 
-// Candidate is one server that was looked at, for the record of the decision.
+// Candidate is a server that was considered, for the decision record.
 type Candidate struct {
 	Server string `json:"server"`
-	// Block is why it was ruled out; empty if it was not.
+	// Exclusion is the reason why it was excluded, or Eligible.
 	Exclusion Exclusion `json:"block,omitempty"`
-	// Ready is the estimated time from now to the end of its part.
+	// ReadyIn is the estimated time until the end of the prefill.
 	ReadyIn time.Duration `json:"ready,omitempty"`
 	// Cached is the expected number of cached prompt tokens.
 	Cached int `json:"cached,omitempty"`
@@ -39,33 +39,34 @@
 	FirstTokenTime time.Duration
 	// Work is the prefill work in tokens, without the expected cached part.
 	Work int
-	// Block is the reason if Prefill or Decode is nil.
+	// Exclusion is the reason why Prefill and Decode are nil.
 	Exclusion Exclusion
-	// Considered lists some of the servers looked at.
+	// Considered lists the first servers that were considered.
 	Considered []Candidate
 }
 
 const (
-	// scanLimit bounds the servers of one role that one choice looks at, so
-	// that its cost stays flat as the fleet grows.
+	// scanLimit is the maximum number of servers of a role that one choice
+	// considers, so that its cost does not grow with the fleet.
 	scanLimit = 32
-	// depth is how many prefills of this entry may stand at one server: one
-	// that runs and one that is ready to follow, so that the engine is never
-	// idle and late choices stay open.
+	// maxOwnPrefills is the maximum number of prefills of this entry at one
+	// server: one that runs and one that follows, so that the engine is never
+	// idle. All others stay in the queue, where their server can still be chosen
+	// by the latest load.
 	maxOwnPrefills = 2
-	// maxConsidered bounds the candidates that a record keeps.
+	// maxConsidered is the maximum number of candidates of a record.
 	maxConsidered = 8
-	// crossZone is added to a transfer between availability zones.
+	// crossZoneDelay is added to a transfer between availability zones.
 	crossZoneDelay = 3 * time.Millisecond
-	// blockTokens is the number of tokens that one prefix hash stands for.
+	// blockTokens is the number of tokens that one prefix hash adds.
 	blockTokens = BlockBytes / BytesPerToken
 )
 
-// BytesPerToken is the usual length of a token in prompt text.
+// BytesPerToken is the average length of a token in prompt text.
 const BytesPerToken = 4
 
-// Choose picks the pair with the earliest first token among the servers that
-// can take the request now.
+// Choose returns the decode server with the most capacity and the prefill server
+// that would end first, among the servers that can accept the request now.
 func (v *View) Choose(now time.Time, q Query) Choice {
 	var c Choice
 	d, exclusion := v.chooseDecode(now, &q, nil, &c)
@@ -85,8 +86,8 @@
 	return c
 }
 
-// Transfer estimates the time that a KV transfer takes: the transfers on a
-// link share its rate.
+// TransferTime estimates the time of a KV transfer that starts now. The
+// transfers on a link share its rate.
 func (v *View) TransferTime(from, to *Server, bytes int64) time.Duration {
 	rate := min(from.LinkRate, to.LinkRate)
 	sharers := 1 + max(from.transfers(), to.transfers())
@@ -97,11 +98,11 @@
 	return duration
 }
 
-// transfers counts the transfers on the server's link.
+// transfers returns the number of transfers on the server's link.
 func (s *Server) transfers() int { return s.ownTransfers + s.otherTransfers }
 
-// scan calls f for the servers of a list, or for a random run of them if the
-// list is long.
+// sample calls f for the servers of a list, or for scanLimit consecutive ones
+// from a random index if the list is longer.
 func (v *View) sample(list []*Server, f func(*Server)) {
 	n := len(list)
 	if n <= scanLimit {
@@ -122,7 +123,9 @@
 	}
 }
 
-// choosePrefill picks the server that would end the prefill first.
+// choosePrefill returns the server that would end the prefill first and the time
+// until then. If the sample might miss the server that holds the longest prefix,
+// it is considered as well.
 func (v *View) choosePrefill(now time.Time, q *Query, c *Choice) (*Server, time.Duration, Exclusion) {
 	var best *Server
 	var bestReady time.Duration
@@ -151,8 +154,8 @@
 	return best, bestReady, exclusion
 }
 
-// worse keeps the reason that tells most: a server that could serve soon says
-// more than one that can't.
+// moreRelevant returns the reason to report for two excluded servers: one with a
+// temporary lack of capacity is the more useful one.
 func moreRelevant(a, b Exclusion) Exclusion {
 	if a == Busy || a == NoSlot {
 		return a
@@ -160,25 +163,30 @@
 	return b
 }
 
+// prefillTime estimates the time until the server has computed that many tokens
+// for a new request of a priority.
 func (s *Server) prefillTime(priority, tokens int) time.Duration {
 	work := s.QueuedTokens(priority) + tokens
 	return time.Duration(float64(work) / max(s.prefillRate, 1) * float64(time.Second))
 }
 
-// cached returns how many prompt tokens the server is thought to have cached.
+// cached returns the expected number of prompt tokens in the server's cache. At
+// least one token must be computed.
 func (v *View) cached(s *Server, q *Query) int {
 	return min(s.cachedPrefixes.matchLength(q.Prefixes)*blockTokens, max(q.Tokens-1, 0))
 }
 
-// ChooseDecode picks a decode server alone, for a KV cache that is there.
+// ChooseDecode returns the decode server for a KV cache that from holds, or nil
+// and the reason.
 func (v *View) ChooseDecode(now time.Time, q Query, from *Server) (*Server, Exclusion) {
 	var c Choice
-	q.Priority = 0 // it may take the last slot
+	q.Priority = 0 // it may use the last slot
 	return v.chooseDecode(now, &q, from, &c)
 }
 
-// chooseDecode picks the server with the largest free share, which keeps the
-// batches, and with them the time between tokens, even.
+// chooseDecode returns the server with the largest share of free slots, adjusted
+// for its speed, zone and link. This keeps the batches of the servers, and with
+// them the time between tokens, even.
 func (v *View) chooseDecode(now time.Time, q *Query, from *Server, c *Choice) (*Server, Exclusion) {
 	var best *Server
 	var bestScore float64
@@ -201,9 +209,9 @@
 	return best, exclusion
 }
 
-// Headroom is the number of slots that requests below the first priority leave
-// free, so that an interactive one finds a slot within its target. Agents hold
-// to the same rule.
+// Headroom returns the number of slots that requests below the highest priority
+// must leave free, so that an interactive request finds a slot within its
+// target. Agents enforce the same rule.
 func Headroom(prefill bool, slots, priority int) int {
 	switch {
 	case priority == 0:
@@ -214,13 +222,16 @@
 	return slots / decodeHeadroomDivisor
 }
 
-// decodeHeadroom is the part of the decode slots that is left free.
+// decodeHeadroomDivisor is the number of decode slots of which one stays free.
 const decodeHeadroomDivisor = 16
 
-// linkWeight is what one transfer on a link counts in the choice of a decode
-// server, as a share of its slots.
+// linkWeight is the share of free slots that one transfer on the link of a
+// decode server outweighs.
 const linkWeight = 0.1
 
+// decodeScore returns the share of free slots, reduced if the server is slower
+// than the target, has transfers on its link, or is in another availability zone
+// than the entry or the prefill server.
 func (v *View) decodeScore(s *Server, q *Query, from *Server) float64 {
 	score := float64(s.Free()) / float64(max(s.slots, 1))
 	if q.TBT > 0 && s.tokenTime > q.TBT {
@@ -236,16 +247,18 @@
 	return score
 }
 
-// speed is the best that the servers of one model do.
+// bestRates holds the highest rates among the prefill servers of a model: the
+// prefill rate in tokens a second, and the link rate in bytes a second.
 type bestRates struct {
 	prefill, link float64
 	at            time.Time
 }
 
-// speedAge is how long a speed is used before it is worked out again.
+// bestRatesTTL is the time for which bestRates are used before they are computed
+// again.
 const bestRatesTTL = 100 * time.Millisecond
 
-// fastest returns the best prefill and link rates among the servers of a model.
+// fastest returns the best rates of a model.
 func (v *View) fastest(now time.Time, model string) bestRates {
 	best, ok := v.best[model]
 	if ok && now.Sub(best.at) < bestRatesTTL {
@@ -262,8 +275,8 @@
 	return best
 }
 
-// Shortest estimates the least time to a first token on any idle server pair;
-// zero if no server is known.
+// MinTTFT estimates the shortest time to the first token on any idle pair of
+// servers; zero if no prefill server has the model.
 func (v *View) MinTTFT(now time.Time, q Query) time.Duration {
 	best := v.fastest(now, q.Model)
 	if best.prefill == 0 {
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,9 +1,9 @@
-// Package placement knows what one entry knows of the backend servers, and
-// chooses a prefill server and a decode server for a request, both at once.
+// Package placement holds an entry's view of the backend servers and chooses a
+// prefill server and a decode server for a request, both at once.
 //
-// What it knows is late: reports lag, cache events have gaps. So it keeps
-// apart what the entry itself has at a server, which is exact, and what others
-// have there, which the agent last reported. The agent answers each
-// reservation yes or no, so a wrong guess costs a round trip and never
-// overloads a server.
+// The view is out of date: load reports are delayed and cache events are
+// incomplete. So it keeps the load of the entry itself, which is exact, apart
+// from the load of other entries, which the agent reported last. Since the agent
+// grants or rejects each reservation, a wrong estimate costs a round trip but
+// never overloads a server.
 package placement
--- a/placement/prefix.go
+++ b/placement/prefix.go
@@ -5,17 +5,17 @@
 	"hash/fnv"
 )
 
-// BlockBytes is the length of prompt text that one prefix hash adds.
+// BlockBytes is the number of bytes of prompt text that each prefix hash adds.
 const BlockBytes = 1024
 
-// maxBlocks bounds the prefix hashes of one prompt.
+// maxBlocks is the maximum number of prefix hashes of a prompt.
 const maxBlocks = 64
 
-// maxPrefixes bounds the hashes kept for one server.
+// maxPrefixes is the maximum number of hashes that are kept for a server.
 const maxPrefixes = 8192
 
-// Prefixes returns the hashes of the prompt's prefixes, the shortest first;
-// each covers BlockBytes more than the one before.
+// Prefixes returns the hashes of the prompt's prefixes, the shortest first. Each
+// prefix is BlockBytes longer than the one before.
 func Prefixes(prompt string) []uint64 {
 	n := min(len(prompt)/BlockBytes, maxBlocks)
 	out := make([]uint64, 0, n)
@@ -27,7 +27,7 @@
 	return out
 }
 
-// prefixSet is a bounded set of hashes; the least recently used goes first.
+// prefixSet is an LRU set of prefix hashes.
 type prefixSet struct {
 	max   int
 	items map[uint64]*list.Element
@@ -51,8 +51,8 @@
 	}
 }
 
-// depth returns how many of the hashes are held, taking it that whoever holds
-// a long prefix holds the shorter ones.
+// matchLength returns how many of the hashes are in the set. It assumes that a
+// set with the hash of a prefix contains those of all shorter ones.
 func (p *prefixSet) matchLength(hashes []uint64) int {
 	low, high := 0, len(hashes)
 	for low < high {
--- a/placement/server.go
+++ b/placement/server.go
@@ -7,51 +7,53 @@
 	"github.com/ledgepin/ledgepin/retry"
 )
 
-// Priorities is the number of priorities.
+// Priorities is the number of priorities; 0 is the highest.
 const Priorities = 10
 
-// Load is what an agent tells an entry of its server. It leaves out what the
-// entry itself holds there.
+// Load is an agent's report to an entry about its server. It does not include
+// the entry's own load.
 type Load struct {
-	// Others counts the slots that other entries hold.
+	// Others is the number of slots that other entries use.
 	Others int `cbor:"1,keyasint"`
-	// Slots counts all slots.
+	// Slots is the number of all slots.
 	Slots int `cbor:"2,keyasint"`
 	// Backlog is the prefill work of other entries in tokens, by priority.
 	Backlog []int32 `cbor:"3,keyasint,omitempty"`
-	// Leaving tells that the server takes no new work.
+	// Leaving reports whether the server accepts no new work.
 	Leaving bool `cbor:"4,keyasint,omitempty"`
-	// Cached lists prefix hashes that the engine has told of since the last
-	// load; the list may have gaps.
+	// Cached lists prefix hashes that the engine has cached since the last
+	// report; the list may be incomplete.
 	Cached []uint64 `cbor:"5,keyasint,omitempty"`
 	// Models are the models that the engine has loaded now.
 	Models []string `cbor:"6,keyasint,omitempty"`
-	// Transfers counts the KV transfers of other entries on the server's link.
+	// Transfers is the number of KV transfers of other entries on the server's
+	// link.
 	Transfers int `cbor:"8,keyasint,omitempty"`
-	// NoModels tells that the engine has none, so that it differs from a load
-	// that does not speak of models.
+	// NoModels reports whether the engine has no model loaded, as opposed to a
+	// report that does not include the models.
 	NoModels bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Info is what the settings say of a server.
+// ServerConfig holds the settings of a server.
 type ServerConfig struct {
 	Name, Zone, Role string
-	// Models are those that it has when it is entered; an entry leaves them to
-	// the first report.
+	// Models are the models that are assumed to be loaded until the first report;
+	// an entry leaves them empty.
 	Models []string
 	Slots  int
-	// LinkRate is in bytes a second.
+	// LinkRate is the rate of the server's link in bytes a second.
 	LinkRate float64
 }
 
-// The first guesses, until answers have taught better.
+// Initial estimates of a server's speed, and the weight of each measurement in
+// their exponential moving averages.
 const (
 	initialPrefillRate = 8000.0 // tokens a second
 	initialTokenTime   = 30 * time.Millisecond
 	smoothingWeight    = 0.2
 )
 
-// Server is one backend server as an entry sees it.
+// Server is the state of a backend server in the view of an entry.
 type Server struct {
 	ServerConfig
 	models    map[string]bool
@@ -60,16 +62,16 @@
 	health    retry.Health
 
 	slots       int
-	otherSlots  int // slots of other entries, as reported
-	ownSlots    int // slots of this entry
-	otherTokens [Priorities]int32
-	ownTokens   [Priorities]int32 // tokens of this entry
+	otherSlots  int               // slots used by other entries, as reported
+	ownSlots    int               // slots used by this entry
+	otherTokens [Priorities]int32 // prefill work of other entries, as reported
+	ownTokens   [Priorities]int32 // prefill work of this entry
 	ownPrefills [Priorities]int   // prefills of this entry
 
-	prefillRate    float64 // prefill tokens a second, learnt
-	tokenTime      time.Duration
-	ownTransfers   int // transfers of this entry on the server's link
-	otherTransfers int // those of others, as reported
+	prefillRate    float64       // tokens a second, moving average
+	tokenTime      time.Duration // moving average
+	ownTransfers   int           // transfers of this entry on the server's link
+	otherTransfers int           // transfers of other entries, as reported
 	cachedPrefixes *prefixSet
 }
 
@@ -87,25 +89,26 @@
 	}
 }
 
-// Free returns the slots that are thought to be free; it may be negative.
+// Free returns the estimated number of free slots; it may be negative.
 func (s *Server) Free() int { return s.slots - s.otherSlots - s.ownSlots }
 
-// Mine counts the slots that this entry holds at the server.
+// OwnSlots returns the number of slots that this entry uses at the server.
 func (s *Server) OwnSlots() int { return s.ownSlots }
 
-// Outstanding counts the requests that are thought to be at the server.
+// Outstanding returns the estimated number of slots in use.
 func (s *Server) Outstanding() int { return s.otherSlots + s.ownSlots }
 
-// Rate returns the learnt prefill rate in tokens a second.
+// Rate returns the average prefill rate in tokens a second.
 func (s *Server) Rate() float64 { return s.prefillRate }
 
-// TokenTime returns the learnt time between tokens.
+// TokenTime returns the average time between tokens.
 func (s *Server) TokenTime() time.Duration { return s.tokenTime }
 
-// Up tells whether the entry has a link to the server's agent.
+// Connected reports whether the entry has a link to the server's agent.
 func (s *Server) Connected() bool { return s.connected }
 
-// Loaded lists the models that the server is thought to have loaded.
+// LoadedModels returns the models that the server last reported as loaded, sorted
+// by name.
 func (s *Server) LoadedModels() []string {
 	out := make([]string, 0, len(s.models))
 	for m := range s.models {
@@ -115,11 +118,11 @@
 	return out
 }
 
-// Leaving tells whether the server takes no new work.
+// Leaving reports whether the server accepts no new work.
 func (s *Server) Leaving() bool { return s.leaving }
 
-// QueuedTokens returns the prefill work that goes before a new request of a
-// priority.
+// QueuedTokens returns the prefill work, in tokens, that is served before a new
+// request of a priority.
 func (s *Server) QueuedTokens(priority int) int {
 	sum := 0
 	for i := 0; i <= priority && i < Priorities; i++ {
@@ -128,7 +131,8 @@
 	return sum
 }
 
-// ownAhead counts this entry's prefills up to a priority.
+// ownPrefillsAhead returns the number of prefills of this entry with at least a
+// priority.
 func (s *Server) ownPrefillsAhead(priority int) int {
 	n := 0
 	for i := 0; i <= priority; i++ {
@@ -137,10 +141,10 @@
 	return n
 }
 
-// Block tells why a server can't take a request now; empty if it can.
+// Exclusion is the reason why a server can't accept a request now.
 type Exclusion string
 
-// The reasons that rule a server out.
+// The reasons. Eligible means that the server can accept the request.
 const (
 	Eligible     Exclusion = ""
 	Disconnected Exclusion = "no link to its agent"
--- a/placement/view.go
+++ b/placement/view.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// View is all that an entry knows of the backend servers in its reach.
+// View holds the state of the backend servers of an entry. It is not safe for
+// concurrent use.
 type View struct {
 	zone    string
 	rng     *rand.Rand
@@ -18,15 +19,15 @@
 	best    map[string]bestRates
 }
 
-// NewView returns an empty view for an entry in a zone. The random source
-// breaks ties and picks samples.
+// NewView returns an empty view for an entry in a zone. The random source is used
+// to sample long lists of servers.
 func NewView(zone string, rng *rand.Rand) *View {
 	return &View{zone: zone, rng: rng, servers: map[string]*Server{}, holders: newHolderIndex(), best: map[string]bestRates{}}
 }
 
-// Set enters a server or brings what the settings say of it up to date. What
-// was learnt of it stays, also which models it has: those of the settings are
-// only loaded when its agent says so.
+// Set adds a server or updates its settings. Its load, its speed and its models
+// stay as they are: the models of the settings are loaded only when its agent
+// reports them.
 func (v *View) Set(i ServerConfig) *Server {
 	s := v.servers[i.Name]
 	if s == nil {
@@ -44,12 +45,13 @@
 	return s
 }
 
-// Remove forgets a server.
+// Remove deletes a server.
 func (v *View) Remove(name string) {
 	delete(v.servers, name)
 	v.index()
 }
 
+// index updates the lists of servers by role, sorted by name.
 func (v *View) index() {
 	v.prefill, v.decode = nil, nil
 	for _, name := range slices.Sorted(maps.Keys(v.servers)) {
@@ -63,33 +65,33 @@
 	}
 }
 
-// Server returns a server by name, or nil.
+// Server returns the server with a name, or nil.
 func (v *View) Server(name string) *Server { return v.servers[name] }
 
-// Prefill lists the prefill servers; the slice is the view's own.
+// Prefill returns the prefill servers; the caller must not modify the slice.
 func (v *View) Prefill() []*Server { return v.prefill }
 
-// Decode lists the decode servers; the slice is the view's own.
+// Decode returns the decode servers; the caller must not modify the slice.
 func (v *View) Decode() []*Server { return v.decode }
 
 // Rand returns the view's random source.
 func (v *View) Rand() *rand.Rand { return v.rng }
 
-// SetUp tells that the link to a server's agent is there or lost.
+// SetConnected records whether there is a link to a server's agent.
 func (v *View) SetConnected(name string, up bool) {
 	if s := v.servers[name]; s != nil {
 		s.connected = up
 	}
 }
 
-// SetLeaving tells that a server is leaving or back.
+// SetLeaving records whether a server is leaving.
 func (v *View) SetLeaving(name string, leaving bool) {
 	if s := v.servers[name]; s != nil {
 		s.leaving = leaving
 	}
 }
 
-// Report takes a load report.
+// Report applies a load report of a server.
 func (v *View) Report(name string, l Load) {
 	s := v.servers[name]
 	if s == nil {
@@ -110,7 +112,8 @@
 	}
 }
 
-// Usable tells whether any server pair serves the model, now or soon.
+// ServesModel reports whether a connected pair of servers has the model, even if
+// it has no capacity now.
 func (v *View) ServesModel(model string) bool {
 	return anyServes(v.prefill, model) && anyServes(v.decode, model)
 }
@@ -124,7 +127,7 @@
 	return false
 }
 
-// PrefillSent notes that this entry has prefill work at a server.
+// PrefillReserved adds prefill work of this entry to the load of a server.
 func (v *View) PrefillReserved(s *Server, priority, tokens int) {
 	s.ownTokens[priority] += int32(tokens)
 	s.ownPrefills[priority]++
@@ -132,15 +135,16 @@
 	s.health.StartProbe()
 }
 
-// PrefillGone notes that the work has ended in whatever way.
+// PrefillReleased removes the work, whether it completed or failed.
 func (v *View) PrefillReleased(s *Server, priority, tokens int) {
 	s.ownTokens[priority] -= int32(tokens)
 	s.ownPrefills[priority]--
 	s.ownSlots--
 }
 
-// PrefillDone learns from a prefill that went well. Took covers the time at
-// the engine without the wait, and computed the tokens not found in its cache.
+// PrefillDone records a successful prefill: its prefix hashes, the tokens that
+// were computed and found in the cache, and the time at the engine without the
+// wait.
 func (v *View) PrefillDone(s *Server, hashes []uint64, computed, cached int, took time.Duration) {
 	s.health.RecordSuccess()
 	if computed > 0 && took > 0 {
@@ -149,8 +153,8 @@
 	v.recordPrefixes(s, hashes, computed, cached)
 }
 
-// learnPrefixes notes that the server has the whole prompt now. A hint that
-// the engine's answer proved wrong has been overwritten by this.
+// recordPrefixes records that the server has cached the complete prompt. It
+// replaces an earlier holder that turned out to be wrong.
 func (v *View) recordPrefixes(s *Server, hashes []uint64, computed, cached int) {
 	if computed+cached == 0 {
 		return
@@ -161,19 +165,19 @@
 	}
 }
 
-// Forget drops all prefix hints of a server, for an engine that restarted.
+// ForgetPrefixes deletes the prefixes of a server whose engine restarted.
 func (v *View) ForgetPrefixes(s *Server) { s.cachedPrefixes = newPrefixSet(maxPrefixes) }
 
-// SlotTaken notes that this entry holds a decode slot at a server.
+// SlotReserved adds a decode slot of this entry to the load of a server.
 func (v *View) SlotReserved(s *Server) {
 	s.ownSlots++
 	s.health.StartProbe()
 }
 
-// SlotFreed notes that the slot is free again.
+// SlotReleased removes a decode slot of this entry.
 func (v *View) SlotReleased(s *Server) { s.ownSlots-- }
 
-// DecodeOK learns the time between tokens of a decode that went well.
+// DecodeDone records a successful decode and its mean time between tokens.
 func (v *View) DecodeDone(s *Server, perToken time.Duration) {
 	s.health.RecordSuccess()
 	if perToken > 0 {
@@ -181,17 +185,17 @@
 	}
 }
 
-// Failed takes a failure that the server is to blame for; it reports true if
-// the server is ejected by it.
+// RecordFailure records a failure that the server caused, and reports whether the
+// server is ejected because of it.
 func (v *View) RecordFailure(now time.Time, s *Server) bool { return s.health.RecordFailure(now) }
 
-// TransferStarted notes a transfer of this entry between two servers.
+// TransferStarted adds a transfer of this entry to the links of two servers.
 func (v *View) TransferStarted(from, to *Server) {
 	from.ownTransfers++
 	to.ownTransfers++
 }
 
-// TransferEnded notes that it has ended in whatever way.
+// TransferEnded removes a transfer, whether it completed or failed.
 func (v *View) TransferEnded(from, to *Server) {
 	from.ownTransfers--
 	to.ownTransfers--
