--- a/admission/queue.go
+++ b/admission/queue.go
@@ -14,19 +14,19 @@
 	Customer string
 	Share    int
 	Priority int
-	// Work is its prefill work in tokens.
+	// Work is the prefill work in tokens.
 	Work int
-	// Deadline is when its first token is due; the earliest goes first.
+	// Deadline is when the first token is due; the earliest is served first.
 	Deadline time.Time
-	// Until is when it is of no use any more; Deadline if zero. It is later for
-	// a request that ran before, which goes first and is worth waiting for.
+	// Expires is when the item is no longer useful; Deadline if zero. It is later
+	// than Deadline for a retry, which is served first and may wait longer.
 	Expires time.Time
 
 	pos   int
 	owner *customer
 }
 
-// until returns when the item is of no use any more.
+// expiry returns when the item is no longer useful.
 func (it *Item) expiry() time.Time {
 	if it.Expires.IsZero() {
 		return it.Deadline
@@ -34,7 +34,7 @@
 	return it.Expires
 }
 
-// before orders items by deadline.
+// before reports whether an item is ordered before another one, by deadline.
 func (it *Item) before(o *Item) bool {
 	if !it.Deadline.Equal(o.Deadline) {
 		return it.Deadline.Before(o.Deadline)
@@ -42,19 +42,20 @@
 	return it.ID < o.ID
 }
 
-// Queue holds the waiting requests of one entry.
+// Queue holds the waiting requests of one model at an entry. It is not safe for
+// concurrent use.
 type Queue struct {
 	levels [levels]*level
 	byID   map[string]*Item
 }
 
-const levels = 10
+const levels = 10 // number of priorities
 
-// level is one priority: the customers with waiting requests, ordered by the
-// work that each has had for its share.
+// level is one priority: the customers with waiting requests, ordered by virtual
+// time, which is the work that a customer has received divided by its share.
 type level struct {
 	customers   map[string]*customer
-	order       pq.Queue[*customer] // by the work that each has had for its share
+	order       pq.Queue[*customer] // by virtual time
 	virtualTime float64
 	work        int
 }
@@ -68,7 +69,8 @@
 	pos         int
 }
 
-// before orders customers by the work that each has had for its share.
+// before reports whether a customer is ordered before another one, by virtual
+// time.
 func (c *customer) before(o *customer) bool {
 	if c.virtualTime != o.virtualTime {
 		return c.virtualTime < o.virtualTime
@@ -88,10 +90,10 @@
 	return q
 }
 
-// Len counts the waiting requests.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Ahead returns the work in tokens that waits with a priority up to p.
+// QueuedWork returns the waiting work, in tokens, of the priorities 0 to p.
 func (q *Queue) QueuedWork(p int) int {
 	sum := 0
 	for i := 0; i <= p; i++ {
@@ -100,7 +102,7 @@
 	return sum
 }
 
-// Add puts an item into the queue. An ID that waits already is ignored.
+// Add adds an item. It does nothing if an item with the same ID waits already.
 func (q *Queue) Add(it *Item) {
 	if q.byID[it.ID] != nil {
 		return
@@ -113,8 +115,8 @@
 	c.work += it.Work
 	l.work += it.Work
 	if c.pos < 0 {
-		// A customer that comes back starts at the level's present, so that it
-		// can't claim the share of the time in which it asked for nothing.
+		// A customer that was idle starts at the level's virtual time, so that it
+		// does not get the share of the time in which it had no requests.
 		c.virtualTime = max(c.virtualTime, l.virtualTime)
 		l.order.Push(c)
 	}
@@ -132,7 +134,7 @@
 	return c
 }
 
-// Remove takes an item out, if it waits.
+// Remove removes an item and returns it, or nil if it does not wait.
 func (q *Queue) Remove(id string) *Item {
 	it := q.byID[id]
 	if it == nil {
@@ -150,15 +152,16 @@
 	return it
 }
 
-// forget drops a customer that has had no more than its share.
+// dropIdle deletes a customer without requests, unless it has received more than
+// its share, which counts when it returns.
 func (l *level) dropIdle(c *customer) {
 	if c.virtualTime <= l.virtualTime || l.order.Len() == 0 {
 		delete(l.customers, c.name)
 	}
 }
 
-// Next returns the item that goes next among the priorities from the given
-// one on, without taking it out; nil if none waits.
+// Peek returns the item that is served next among the priorities from the given
+// one on, or nil.
 func (q *Queue) Peek(from int) *Item {
 	for i := from; i < levels; i++ {
 		if l := q.levels[i]; l.order.Len() > 0 {
@@ -168,7 +171,8 @@
 	return nil
 }
 
-// Take takes an item out because it is served, and charges its customer.
+// Dequeue removes an item that is about to be served and charges its work to its
+// customer. It returns nil if the item does not wait.
 func (q *Queue) Dequeue(id string) *Item {
 	it := q.byID[id]
 	if it == nil {
@@ -181,8 +185,8 @@
 	return q.Remove(id)
 }
 
-// Due takes out the items of a priority whose first token can't come in time
-// any more: need is the shortest time from now to the first token.
+// RemoveLate removes and returns the items of a priority whose first token would
+// be late; minTime returns the shortest time from now to the first token.
 func (q *Queue) RemoveLate(priority int, now time.Time, minTime func(*Item) time.Duration) []*Item {
 	var out []*Item
 	for _, c := range q.levels[priority].order.Items() {
@@ -194,8 +198,8 @@
 	return out
 }
 
-// late walks a heap from its earliest deadline and stops below items that have
-// time left.
+// lateItems returns the late items of a heap. It starts at the earliest deadline
+// and skips what lies below an item that can't be late yet.
 func lateItems(h []*Item, now time.Time, minTime func(*Item) time.Duration) []*Item {
 	var out []*Item
 	stack := []int{0}
@@ -214,14 +218,16 @@
 }
 
 const (
+	// scanMargin makes the scan of a heap reach slightly later deadlines.
 	scanMargin = 10 * time.Millisecond
-	// maxNeed is the longest time that one request is thought to need.
+	// maxServiceTime is the assumed maximum time from the start of a request to
+	// its first token.
 	maxServiceTime = time.Minute
 )
 
-// Shed takes out the items of a priority that can't all be done in time if the
-// level is served at rate tokens a second, the largest first. Each customer is
-// counted with its share of the rate.
+// Shed removes and returns items of a priority, the largest first, until the
+// others can be served in time at rate tokens a second. Each customer gets its
+// share of the rate.
 func (q *Queue) Shed(priority int, now time.Time, rate float64) []*Item {
 	l := q.levels[priority]
 	var shares float64
@@ -238,6 +244,7 @@
 	return out
 }
 
+// shed returns the items to drop by Moore's algorithm.
 func (c *customer) shed(now time.Time, rate float64) []*Item {
 	if c.items.Len() < 2 || rate <= 0 {
 		return nil
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestShares serves two customers that always wait: the work must go to them
-// as their shares say.
+// TestWorkFollowsShares serves two customers that always have requests waiting:
+// the work must be divided in proportion to their shares.
 func TestWorkFollowsShares(t *testing.T) {
 	q := admission.New()
 	work := map[string]int{}
@@ -74,7 +74,8 @@
 	assert.Assert(t, ratio > 2.9 && ratio < 3.1, "%.2f", ratio)
 }
 
-// TestReturningCustomer checks that nobody saves up a share while away.
+// TestIdleCustomerSavesNoShare checks that a customer that was idle does not take
+// precedence over the others when it returns.
 func TestIdleCustomerSavesNoShare(t *testing.T) {
 	q := admission.New()
 	for i := range 50 {
@@ -105,7 +106,8 @@
 	assert.Equal(t, q.Len(), 2)
 }
 
-// TestShedDropsTheLargest wants the greatest number in time.
+// TestLargestRequestIsShedFirst checks that the greatest number of requests is
+// served in time.
 func TestLargestRequestIsShedFirst(t *testing.T) {
 	q := admission.New()
 	q.Add(item("huge", "c", 0, 900, time.Second))
