--- a/lease/table.go
+++ b/lease/table.go
@@ -8,35 +8,37 @@
 	"github.com/ledgepin/ledgepin/internal/pq"
 )
 
-// ID names one attempt of one request at this server.
+// ID identifies an attempt of a request.
 type ID struct {
 	Req     string `cbor:"1,keyasint" json:"req"`
 	Attempt uint32 `cbor:"2,keyasint" json:"attempt"`
 }
 
-// State is how far a lease has come.
+// State is the state of a lease.
 type State uint8
 
 // The states of a lease.
 const (
-	// Held means that the slot waits for its work.
+	// Held means that the slot is reserved and its work has not started.
 	Held State = iota
-	// Running means that the engine has been asked to work.
+	// Running means that the work was sent to the engine.
 	Running
-	// Cancelling means that the engine has been told to stop and has not
-	// confirmed it.
+	// Cancelling means that a cancel was sent to the engine, which has not
+	// confirmed it yet.
 	Cancelling
 )
 
-// String returns the name of the state.
+// String returns the state in lower case.
 func (s State) String() string {
 	return [...]string{"held", "running", "cancelling"}[s]
 }
 
-// Reason tells why a slot was not given.
+// Reason is the reason why a reservation is rejected.
 type Reason string
 
-// The reasons for a refusal.
+// The reasons. None means that the slot is reserved; Recovery, that the requests
+// that the engine runs are not known yet; Duplicate, that the attempt has a lease
+// already. NoModel comes from the agent, not from the table.
 const (
 	None      Reason = ""
 	Full      Reason = "full"
@@ -46,33 +48,36 @@
 	NoModel   Reason = "model not loaded"
 )
 
-// Effect asks the shell to cancel a request at the engine.
+// EngineCancel is a cancel that the caller must send to the engine.
 type EngineCancel struct {
 	ID ID
-	// Try counts the cancels of this request, from 1.
+	// Try is the number of this cancel among those of the attempt, from 1.
 	Try int
-	// Expired tells that the owner was silent for too long, or is gone.
+	// Expired reports whether the lease expired or its owner disconnected.
 	Expired bool
 }
 
-// Options are the fixed times of a table.
+// Options holds the times of a table.
 type Options struct {
-	// Time is how long a lease outlives the silence of its owner.
+	// TTL is the time for which a lease remains valid after its owner's last
+	// heartbeat.
 	TTL time.Duration
-	// CancelEvery is the time between two cancels of one request.
+	// CancelInterval is the time between two cancels of one attempt.
 	CancelInterval time.Duration
 }
 
+// heldLease is a lease in any state.
 type heldLease struct {
 	id         ID
 	owner      string
 	state      State
 	keep       bool
-	timerAt    time.Time // Held: end of the hold. Running: its limit. Cancelling: next cancel.
+	timerAt    time.Time // Held: end of the hold. Running: deadline, if set. Cancelling: next cancel.
 	cancels    int
 	timerIndex int // index in the heap, or -1
 }
 
+// owner is an entry that has leases; renewed is its last heartbeat.
 type owner struct {
 	renewed time.Time
 	leases  map[ID]*heldLease
@@ -89,7 +94,7 @@
 	timers     pq.Queue[*heldLease]
 }
 
-// New returns a table with a number of slots.
+// New returns a table without leases.
 func New(slots int, opts Options) *Table {
 	t := &Table{opts: opts, slots: slots, leases: map[ID]*heldLease{}, owners: map[string]*owner{}}
 	t.timers.Less = func(a, b *heldLease) bool { return a.timerAt.Before(b.timerAt) }
@@ -97,26 +102,27 @@
 	return t
 }
 
-// SetSlots changes the number of slots; leases over it go on.
+// SetSlots changes the number of slots. Leases in excess of it continue.
 func (t *Table) SetSlots(n int) { t.slots = n }
 
-// SetTime changes how long a lease outlives the silence of its owner.
+// SetTTL changes Options.TTL.
 func (t *Table) SetTTL(d time.Duration) { t.opts.TTL = d }
 
-// SetLeaving tells that the server is leaving, or is back.
+// SetLeaving sets whether the server is leaving. A leaving server rejects all
+// reservations.
 func (t *Table) SetLeaving(leaving bool) { t.leaving = leaving }
 
-// Leaving tells whether the server takes no new work.
+// Leaving reports whether the server accepts no new work.
 func (t *Table) Leaving() bool { return t.leaving }
 
-// SetRecovering refuses all reservations until the requests that the engine
-// runs are known.
+// SetRecovering sets whether all reservations are rejected because the requests
+// that the engine runs are not known yet.
 func (t *Table) SetRecovering(on bool) { t.recovering = on }
 
-// Used counts the slots under lease.
+// Used returns the number of leased slots.
 func (t *Table) Used() int { return len(t.leases) }
 
-// UsedBy counts the slots under lease of one owner.
+// UsedBy returns the number of slots leased to an owner.
 func (t *Table) UsedBy(ownerName string) int {
 	o := t.owners[ownerName]
 	if o == nil {
@@ -125,7 +131,7 @@
 	return len(o.leases)
 }
 
-// Count counts the leases in a state.
+// Count returns the number of leases in a state.
 func (t *Table) Count(s State) int {
 	n := 0
 	for _, e := range t.leases {
@@ -139,7 +145,7 @@
 // Slots returns the number of slots.
 func (t *Table) Slots() int { return t.slots }
 
-// State returns the state of a lease.
+// State returns the state of a lease, and whether it exists.
 func (t *Table) State(id ID) (State, bool) {
 	e, ok := t.leases[id]
 	if !ok {
@@ -148,20 +154,20 @@
 	return e.state, true
 }
 
-// Ask is a wish for a slot.
+// Request is a request for a slot.
 type Request struct {
 	ID    ID
 	Owner string
-	// Hold is how long the slot waits for its work.
+	// Hold is the time within which the work must start.
 	Hold time.Duration
-	// Keep lets the work outlive its owner.
+	// Keep lets the work continue if its owner's leases expire.
 	Keep bool
-	// Spare is the number of slots that must stay free, for work of a higher
+	// Headroom is the number of slots that must stay free for work of a higher
 	// priority.
 	Headroom int
 }
 
-// Reserve gives a slot, or says why not.
+// Reserve leases a slot, or returns the reason why not.
 func (t *Table) Reserve(now time.Time, a Request) Reason {
 	switch {
 	case t.recovering:
@@ -189,7 +195,8 @@
 	o.leases[e.id] = e
 }
 
-// Start moves a held lease to Running; it reports false if id holds none.
+// Start changes a lease from Held to Running. It reports false if there is no
+// held lease.
 func (t *Table) Start(id ID) bool {
 	e := t.leases[id]
 	if e == nil || e.state != Held {
@@ -200,7 +207,7 @@
 	return true
 }
 
-// Limit sets the moment at which a running request is cancelled by itself.
+// SetDeadline sets the time at which Tick cancels a running request.
 func (t *Table) SetDeadline(id ID, at time.Time) {
 	e := t.leases[id]
 	if e == nil || e.state != Running {
@@ -211,7 +218,8 @@
 	t.timers.Push(e)
 }
 
-// Finish frees the slot of id: the engine holds nothing of it any more.
+// Finish releases the slot of an attempt after the engine confirmed that it holds
+// nothing of it any more.
 func (t *Table) Finish(id ID) {
 	e := t.leases[id]
 	if e == nil {
@@ -223,8 +231,8 @@
 	delete(o.leases, id)
 }
 
-// Cancel gives up a lease. A held slot is free at once; a running request is
-// cancelled at the engine.
+// Cancel ends a lease. A held slot is released at once; a running request is
+// cancelled at the engine first.
 func (t *Table) Cancel(now time.Time, id ID) []EngineCancel {
 	e := t.leases[id]
 	if e == nil || e.state == Cancelling {
@@ -249,15 +257,15 @@
 	return EngineCancel{ID: e.id, Try: e.cancels}
 }
 
-// Seen renews all leases of an owner.
+// Renew renews all leases of an owner.
 func (t *Table) Renew(now time.Time, ownerName string) {
 	if o := t.owners[ownerName]; o != nil {
 		o.renewed = now
 	}
 }
 
-// Adopt enters a request that the engine runs and nobody holds a lease for.
-// It is cancelled at once.
+// CancelOrphan adds a request that the engine runs without a lease, and cancels
+// it.
 func (t *Table) CancelOrphan(now time.Time, id ID) []EngineCancel {
 	if t.leases[id] != nil {
 		return nil
@@ -267,7 +275,8 @@
 	return []EngineCancel{t.cancel(now, e)}
 }
 
-// Gone gives up all leases of an owner whose link has closed and not come back.
+// ExpireOwner cancels the leases of an owner whose link was lost and not restored
+// in time.
 func (t *Table) ExpireOwner(now time.Time, ownerName string) []EngineCancel {
 	o := t.owners[ownerName]
 	if o == nil {
@@ -276,8 +285,9 @@
 	return t.cancelLeases(now, o)
 }
 
-// Claim enters a request that the engine runs for an owner that knows it, after
-// a restart of the agent. It reports false if the table has it already.
+// Restore adds a lease for a request that the engine runs and that its owner
+// reported after a restart of the agent. It reports false if there is a lease
+// already.
 func (t *Table) Restore(now time.Time, id ID, ownerName string, keep bool) bool {
 	if t.leases[id] != nil {
 		return false
@@ -286,8 +296,9 @@
 	return true
 }
 
-// Tick gives up the leases of silent owners and holds that ran out, and
-// repeats cancels that are due.
+// Tick cancels the leases of owners that sent no heartbeat for the TTL, releases
+// slots whose hold expired, cancels requests whose deadline passed, and repeats
+// unconfirmed cancels.
 func (t *Table) Tick(now time.Time) []EngineCancel {
 	out := t.expireOwners(now)
 	for t.timers.Len() > 0 && !t.timers.First().timerAt.After(now) {
@@ -319,7 +330,8 @@
 	return out
 }
 
-// giveUp cancels the leases of an owner, in the order of their IDs.
+// cancelLeases cancels the leases of an owner, except those with Keep, sorted by
+// ID.
 func (t *Table) cancelLeases(now time.Time, o *owner) []EngineCancel {
 	var out []EngineCancel
 	for id, e := range o.leases {
@@ -348,7 +360,7 @@
 	Cancels int    `json:"cancels,omitempty"`
 }
 
-// Dump lists all leases.
+// Dump returns all leases in no particular order.
 func (t *Table) Dump() []Lease {
 	out := make([]Lease, 0, len(t.leases))
 	for id, e := range t.leases {
