--- a/claim/proposer.go
+++ b/claim/proposer.go
@@ -1,30 +1,30 @@
 package claim
 
-// Verdict is what an attempt knows about its claim.
+// Verdict is the result of an attempt to claim a key.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Waiting means that more votes are needed.
+	// Pending means that more votes are needed.
 	Pending Verdict = iota
 	// Won means that the attempt may send its call, once.
 	Won
-	// Lost means that the attempt has sent nothing and never will, and that no
-	// other attempt has won: the call did not run.
+	// Lost means that the attempt may not send its call and that no other attempt
+	// has won: the call did not run.
 	Lost
-	// Unreached means that the attempt has sent nothing and never will, but so
-	// many voters are out of reach that an earlier attempt with the same key
-	// may have won.
+	// Unreachable means that the attempt may not send its call, but that so many
+	// voters are unreachable that an earlier attempt with the same key may have
+	// won.
 	Unreachable
-	// Taken means that another attempt may have sent the call.
+	// HeldByOther means that another attempt may have sent the call.
 	HeldByOther
-	// Answered means that another attempt has the recorded answer.
+	// Answered means that the answer of another attempt is recorded.
 	Answered
-	// Misused means that the key was used with another body.
+	// KeyReused means that the key was used with another body.
 	KeyReused
 )
 
-// String returns the verdict in reports.
+// String returns the verdict as reports show it.
 func (v Verdict) String() string {
 	return [...]string{"waiting", "won", "not won", "voters out of reach", "held by another attempt", "answered before", "key used for another call"}[v]
 }
@@ -42,8 +42,8 @@
 	return &Proposer{attempt: attempt, size: size, votes: map[string]Vote{}}
 }
 
-// Vote takes one vote and returns the verdict. Once it is not Waiting, it
-// stays.
+// AddVote adds a vote and returns the verdict. A verdict other than Pending is
+// final.
 func (p *Proposer) AddVote(v Vote) Verdict {
 	if p.verdict != Pending || v.Attempt != p.attempt {
 		return p.verdict
@@ -53,7 +53,8 @@
 	return p.verdict
 }
 
-// Close ends the wait: voters that have not answered count as unknown.
+// Close ends the vote and returns the final verdict. Voters that have not
+// answered may have granted the key to any attempt.
 func (p *Proposer) Close() Verdict {
 	if p.verdict == Pending {
 		p.verdict = p.decide(true)
@@ -61,7 +62,7 @@
 	return p.verdict
 }
 
-// Answer returns the recorded answer, if the verdict is Answered.
+// Answer returns the recorded answer if the verdict is Answered, or nil.
 func (p *Proposer) Answer() *Answer {
 	for _, v := range p.votes {
 		if v.Answer != nil {
@@ -71,6 +72,7 @@
 	return nil
 }
 
+// decide returns the verdict; last reports whether no more votes are expected.
 func (p *Proposer) decide(last bool) Verdict {
 	granted, unknown := 0, p.size
 	holders := map[string]int{}
@@ -101,8 +103,9 @@
 	return p.lossVerdict(holders, unknown)
 }
 
-// lost tells whether another attempt may have won. Grants that this attempt
-// holds can't have gone to another one.
+// lossVerdict returns the verdict of an attempt that has not won, depending on
+// whether another one may have won. Voters that granted the key to this attempt
+// can't have granted it to another one.
 func (p *Proposer) lossVerdict(holders map[string]int, unknown int) Verdict {
 	for _, n := range holders {
 		if n+unknown >= Majority(p.size) {
@@ -115,8 +118,8 @@
 	return Lost
 }
 
-// stale tells whether a vote came from a voter that another one knows to have
-// restarted since.
+// stale reports whether a vote came from an incarnation of a voter that, by the
+// vote of another voter, has ended.
 func (p *Proposer) stale(v Vote) bool {
 	for _, w := range p.votes {
 		if w.Known[v.Voter] > v.Incarnation {
--- a/claim/voter.go
+++ b/claim/voter.go
@@ -6,7 +6,8 @@
 	"github.com/ledgepin/ledgepin/internal/pq"
 )
 
-// blocked holds a key in place of an attempt; no attempt has this name.
+// blocked takes the place of an attempt in a grant, so that no attempt can get
+// the key. No attempt has this name.
 const blocked = "?"
 
 type grant struct {
@@ -16,7 +17,8 @@
 	expires time.Time
 	answer  *Answer
 	pos     int // index in the heap
-	// given marks the attempts that gave the key up: they may not get it back.
+	// abandoned holds the attempts that abandoned the key. They can't get it
+	// again.
 	abandoned map[string]bool
 }
 
@@ -29,18 +31,18 @@
 	readyAt     time.Time
 	known       map[string]uint64
 	copied      map[string]bool
-	// got counts the grants that came from each member so far; lists are the
-	// grants that are being sent to members, as they were at the first part.
+	// received counts the grants received from each member so far; snapshots holds
+	// the grants that are being sent to members, as of their first batch.
 	received  map[string]int
 	snapshots map[string][]HeldKey
 	grants    map[string]*grant
 	expiry    pq.Queue[*grant]
 }
 
-// NewVoter returns a voter without grants. It is cold: it votes only after it
-// has copied the grants of a majority, or when wait has passed, by which time
-// every key that it may have forgotten has ended. The incarnation must be
-// higher at each start.
+// NewVoter returns a voter without grants. It is not ready: it votes only after
+// it has copied the grants of a majority, or after wait, when every key that it
+// may have granted before has expired. The incarnation must increase with each
+// restart.
 func NewVoter(now time.Time, name string, incarnation uint64, members []string, wait time.Duration) *Voter {
 	v := &Voter{
 		name: name, incarnation: incarnation, members: members, readyAt: now.Add(wait),
@@ -51,18 +53,18 @@
 	return v
 }
 
-// Warm tells whether the voter votes.
+// Ready reports whether the voter votes.
 func (v *Voter) Ready() bool { return v.ready }
 
-// Keys counts the keys that are kept.
+// Keys returns the number of keys that are kept.
 func (v *Voter) Keys() int { return len(v.grants) }
 
-// Found makes the voter vote at once: the group is new and has no past. Only
-// the operator, or a test, can know that.
+// Bootstrap makes the voter of a new group ready. Only the operator, or a test,
+// can know that the group is new and no earlier grants exist.
 func (v *Voter) Bootstrap() { v.ready = true }
 
-// Copy returns what a cold voter asks another member next; nil once it is warm
-// or has all of that member's grants.
+// NextCopyRequest returns the next request of a voter that is not ready to
+// another member, or nil if it is ready or has all of the member's grants.
 func (v *Voter) NextCopyRequest(from string) *CopyRequest {
 	if v.ready || v.copied[from] {
 		return nil
@@ -70,7 +72,7 @@
 	return &CopyRequest{Voter: v.name, Incarnation: v.incarnation, From: v.received[from]}
 }
 
-// Tick forgets keys whose lifetime is over and ends a long wait.
+// Tick deletes expired keys and makes the voter ready after its wait.
 func (v *Voter) Tick(now time.Time) {
 	if !v.ready && !now.Before(v.readyAt) {
 		v.ready = true
@@ -80,7 +82,8 @@
 	}
 }
 
-// Ask decides on one attempt.
+// Vote returns the vote on an attempt and records a grant. It expires keys
+// first.
 func (v *Voter) Vote(now time.Time, a VoteRequest) Vote {
 	v.Tick(now)
 	out := Vote{Key: a.Key, Attempt: a.Attempt, Voter: v.name, Incarnation: v.incarnation, Known: v.knownCopy()}
@@ -106,8 +109,8 @@
 	return out
 }
 
-// Record keeps the outcome of an attempt. An attempt that was given up frees
-// the key for others, but never for itself.
+// Record stores the outcome of an attempt. An abandoned attempt releases the key
+// for others, but never for itself.
 func (v *Voter) Record(now time.Time, r Record) {
 	g := v.grants[r.Key]
 	if g == nil || g.attempt != r.Attempt {
@@ -132,13 +135,13 @@
 	g.attempt = ""
 }
 
-// Bounds of one Copied, so that it fits into a frame.
+// Limits of a CopyReply, so that it fits into a frame.
 const (
 	maxBatchKeys  = 5000
 	maxBatchBytes = 4 << 20
 )
 
-// partEnd returns where the part of a list that begins at from ends.
+// batchEnd returns the end of the batch of a list that begins at index from.
 func batchEnd(list []HeldKey, from int) int {
 	size := 0
 	end := from
@@ -151,8 +154,9 @@
 	return end
 }
 
-// CopyFor answers a restarted member. Its incarnation is noted before the first
-// part is read, so that every later vote tells it.
+// AnswerCopy answers the request of a restarted member. It records the member's
+// incarnation before it reads the first batch, so that every later vote includes
+// it.
 func (v *Voter) AnswerCopy(now time.Time, c CopyRequest) CopyReply {
 	if c.Incarnation > v.known[c.Voter] {
 		v.known[c.Voter] = c.Incarnation
@@ -166,7 +170,7 @@
 	}
 	list := v.snapshots[c.Voter]
 	if c.From > len(list) {
-		return CopyReply{Voter: v.name, For: c.Incarnation, Cold: true} // it has to begin anew
+		return CopyReply{Voter: v.name, For: c.Incarnation, Cold: true} // the requester starts again
 	}
 	end := batchEnd(list, c.From)
 	out.Held = list[c.From:end]
@@ -177,7 +181,7 @@
 	return out
 }
 
-// held lists all grants.
+// heldKeys returns all grants.
 func (v *Voter) heldKeys(now time.Time) []HeldKey {
 	out := make([]HeldKey, 0, len(v.grants))
 	for _, g := range v.grants {
@@ -186,8 +190,8 @@
 	return out
 }
 
-// Copied takes a part of the grants of another member and makes the voter warm
-// once a majority of the group has sent all of theirs.
+// ApplyCopy adds a batch of the grants of another member. It makes the voter
+// ready once a majority of the group has sent all its grants.
 func (v *Voter) ApplyCopy(now time.Time, c CopyReply) {
 	if v.ready || c.For != v.incarnation || !v.isOtherMember(c.Voter) || v.copied[c.Voter] {
 		return
@@ -211,9 +215,9 @@
 	v.ready = len(v.copied) >= Majority(len(v.members))
 }
 
-// merge takes one grant of another member. If two members hold different
-// attempts, this voter's forgotten grant may have given either of them the
-// majority, so the key is blocked unless an answer shows which one ran.
+// merge adds a grant of another member. If two members granted a key to different
+// attempts, this voter's lost grant may have given either of them the majority,
+// so the key is blocked unless an answer shows which one ran.
 func (v *Voter) merge(now time.Time, h HeldKey) {
 	g := v.grants[h.Key]
 	if g == nil {
@@ -248,5 +252,6 @@
 	return out
 }
 
-// Majority returns the least number of n voters that any two such numbers share one of.
+// Majority returns the smallest number of voters such that any two sets of that
+// size out of n voters have one in common.
 func Majority(n int) int { return n/2 + 1 }
