--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision keeps a typed record of what was decided for each request
-// and why, in bounded memory, for the explain command, the log and the tests.
+// Package decision records what was decided for each request and why, in bounded
+// memory. The records serve the explain command, the log and the tests.
 package decision
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/ledgepin/ledgepin/placement"
 )
 
-// Kind is what a step of a record tells.
+// Kind is the kind of a step.
 type Kind string
 
 // The kinds of steps.
@@ -38,22 +38,23 @@
 	Called             Kind = "call"
 )
 
-// Step is one thing that was decided or seen.
+// Step is one decision or event of a request.
 type Step struct {
 	At      time.Time `json:"at"`
 	Kind    Kind      `json:"kind"`
 	Attempt uint32    `json:"attempt,omitempty"`
-	// Where is the process that wrote the step.
+	// Process is the name of the process that recorded the step.
 	Process string `json:"where,omitempty"`
-	// Server is the backend server that it is about.
+	// Server is the backend server that the step concerns.
 	Server string `json:"server,omitempty"`
-	// Detail says more, in reports.
+	// Detail is free text for the reader of a report.
 	Detail string `json:"detail,omitempty"`
-	// Candidates are the servers that were looked at.
+	// Candidates are servers that were considered.
 	Candidates []placement.Candidate `json:"candidates,omitempty"`
 }
 
-// String returns the step as one line, without its time.
+// String returns the step without its time, followed by a line for each
+// candidate.
 func (s Step) String() string {
 	var b strings.Builder
 	b.WriteString(string(s.Kind))
@@ -76,34 +77,35 @@
 	return b.String()
 }
 
-// Record is the story of one request at one process.
+// Record holds the steps of a request that one process recorded, in order of
+// time.
 type Record struct {
 	ID       string `json:"id"`
 	Customer string `json:"customer,omitempty"`
 	Class    string `json:"class,omitempty"`
 	Model    string `json:"model,omitempty"`
 	Steps    []Step `json:"steps"`
-	// Left counts the steps that found no room.
+	// Omitted is the number of steps beyond the maximum, which are not kept.
 	Omitted int `json:"left_out,omitempty"`
 }
 
-// maxSteps bounds the steps of one record.
+// maxSteps is the maximum number of steps of a record.
 const maxSteps = 48
 
-// Ring keeps the newest records.
+// Ring is a ring buffer of the newest records.
 type Ring struct {
 	byID  map[string]*Record
 	order []string
 	next  int
 }
 
-// NewRing returns a ring for a number of records.
+// NewRing returns a ring for size records.
 func NewRing(size int) *Ring {
 	return &Ring{byID: make(map[string]*Record, size), order: make([]string, size)}
 }
 
-// Open returns the record of id, a new one if there is none; the oldest record
-// makes room.
+// GetOrCreate returns the record of id. If there is none, it replaces the oldest
+// record by a new one.
 func (r *Ring) GetOrCreate(id string) *Record {
 	if rec := r.byID[id]; rec != nil {
 		return rec
@@ -116,7 +118,7 @@
 	return rec
 }
 
-// Find returns a copy of the record of id.
+// Find returns a copy of the record of id, if it is still kept.
 func (r *Ring) Find(id string) (Record, bool) {
 	rec := r.byID[id]
 	if rec == nil {
@@ -127,10 +129,10 @@
 	return out, true
 }
 
-// Len counts the records that are kept.
+// Len returns the number of records that are kept.
 func (r *Ring) Len() int { return len(r.byID) }
 
-// Add appends a step.
+// Add appends a step, or counts it as omitted if the record is full.
 func (r *Record) Add(s Step) {
 	if len(r.Steps) >= maxSteps {
 		r.Omitted++
@@ -139,8 +141,8 @@
 	r.Steps = append(r.Steps, s)
 }
 
-// Merge joins the records that several processes have of one request, in order
-// of time.
+// Merge merges the records that several processes have of one request, with the
+// steps in order of time.
 func Merge(records []Record) Record {
 	var out Record
 	for _, r := range records {
@@ -154,8 +156,8 @@
 	return out
 }
 
-// Write tells the story of the record, a step a line, with the time since the
-// first step.
+// Write writes the record as text: a step per line, with the time since the first
+// step.
 func (r Record) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "request %s of %s, class %s, model %s\n", r.ID, r.Customer, r.Class, r.Model); err != nil {
 		return err
@@ -167,7 +169,7 @@
 		}
 	}
 	if r.Omitted > 0 {
-		if _, err := fmt.Fprintf(w, "and %d more steps that were not kept\n", r.Omitted); err != nil {
+		if _, err := fmt.Fprintf(w, "%d more steps were not kept\n", r.Omitted); err != nil {
 			return err
 		}
 	}
