--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,9 +1,9 @@
 // Package stream puts the chunks of an answer in order.
 //
-// Chunks may come late, twice, out of order, or from an attempt that was
-// given up. A caller must get each token once and in order, so an Assembler
-// passes on a chunk only if it belongs to the newest attempt and its index is
-// the next one; it keeps a bounded number of chunks that came too early.
+// Chunks may arrive late, twice, out of order, or from an abandoned attempt. A
+// caller must receive each token once and in order, so an Assembler returns a
+// chunk only if it belongs to the newest attempt and has the next index. It
+// buffers a bounded number of chunks that arrive early.
 package stream
 
 import (
@@ -11,21 +11,23 @@
 	"strings"
 )
 
-// MaxEarly bounds the chunks that wait for an earlier one.
+// MaxBuffered is the maximum number of chunks that are buffered until a missing
+// one arrives.
 const MaxBuffered = 256
 
-// ErrGap tells that too many chunks came before the next one.
-var ErrGap = errors.New("stream: too many chunks wait for a missing one")
+// ErrGap means that MaxBuffered chunks arrived before the next one.
+var ErrGap = errors.New("stream: too many chunks arrived before the next one")
 
-// Part is one token, or the end of the answer.
+// Chunk is one token, or the end of the answer.
 type Chunk struct {
 	Index int
 	Text  string
-	// Finish is why the answer ended; empty while it goes on.
+	// Finish is the reason why the answer ended; empty for a token.
 	Finish string
 }
 
-// Assembler orders the chunks of one answer. The zero value is ready.
+// Assembler orders the chunks of one answer. The zero value is ready to use. It
+// is not safe for concurrent use.
 type Assembler struct {
 	attempt  uint32
 	next     int
@@ -35,8 +37,8 @@
 	dropped  int
 }
 
-// Attempt starts a newer attempt: chunks of older ones are dropped from now
-// on. It returns the index at which the attempt has to go on.
+// StartAttempt starts a newer attempt: chunks of older ones are dropped from now
+// on. It returns the index of the first chunk that the attempt must send.
 func (a *Assembler) StartAttempt(n uint32) int {
 	if n > a.attempt {
 		a.attempt = n
@@ -45,7 +47,9 @@
 	return a.next
 }
 
-// Accept takes a chunk and returns the parts that the caller gets now.
+// Accept adds a chunk and returns the chunks that are now in order. It drops
+// chunks that are late, repeated or of another attempt, and returns ErrGap if a
+// chunk can't be buffered.
 func (a *Assembler) Accept(attempt uint32, p Chunk) ([]Chunk, error) {
 	if attempt != a.attempt || a.done || p.Index < a.next {
 		a.dropped++
@@ -88,14 +92,15 @@
 	a.next++
 }
 
-// Next returns the index of the next token.
+// Next returns the index of the next chunk to deliver.
 func (a *Assembler) Next() int { return a.next }
 
-// Text returns the answer so far.
+// Text returns the text of the delivered chunks.
 func (a *Assembler) Text() string { return a.text.String() }
 
-// Done tells whether the answer has ended.
+// Done reports whether the answer has ended.
 func (a *Assembler) Done() bool { return a.done }
 
-// Dropped counts the chunks that were late, repeated or of an older attempt.
+// Dropped returns the number of chunks that were late, repeated or of another
+// attempt.
 func (a *Assembler) Dropped() int { return a.dropped }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -36,8 +36,8 @@
 	assert.ErrorIs(t, err, stream.ErrGap)
 }
 
-// TestWholeAnswerOnce sends the chunks of several attempts late, twice and out
-// of order. The caller must get each token once and in order.
+// TestEachTokenIsDeliveredOnce sends the chunks of several attempts late, twice
+// and out of order. The caller must receive each token once and in order.
 func TestEachTokenIsDeliveredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.SliceOfN(rapid.StringMatching("[a-z]{1,3}"), 1, 20).Draw(t, "reports")
@@ -66,7 +66,7 @@
 		for n := uint32(1); n <= last; n++ {
 			from := a.StartAttempt(n)
 			for _, i := range rapid.SliceOf(rapid.IntRange(0, len(tokens))).Draw(t, "order") {
-				// Chunks of any earlier attempt may still come, with other tokens.
+				// Chunks of any earlier attempt may still arrive, with other tokens.
 				if old := uint32(rapid.IntRange(0, int(n)).Draw(t, "from attempt")); old != n {
 					accept(old, stream.Chunk{Index: i, Text: "WRONG"})
 				} else if i >= from {
