--- a/placement/choose.go
+++ b/placement/choose.go
@@ -41,7 +41,7 @@
 	Work int
 	// Exclusion is the reason why Prefill and Decode are nil.
 	Exclusion Exclusion
-	// Considered lists the first servers that were considered.
+	// Considered lists the first servers that were considered, up to maxConsidered.
 	Considered []Candidate
 }
 
--- a/router/arrive.go
+++ b/router/arrive.go
@@ -44,7 +44,7 @@
 	case c.waiting >= c.opts.QueueLimit:
 		return fault.QueueFull, fmt.Sprintf("%d requests are waiting", c.waiting)
 	case !c.view.ServesModel(req.Model):
-		return fault.NoServer, "no pair of connected servers has model " + req.Model
+		return fault.NoServer, "model " + req.Model + " has no pair of connected servers"
 	}
 	return nil, ""
 }
