--- a/consensus/boot.go
+++ b/consensus/boot.go
@@ -37,7 +37,7 @@
 
 // NoteLost takes that a replica has lost its disk, and that its process has ended:
 // another identity answers at its address. It never votes or leads again.
-func (n *Node) NoteLost(id string) { n.lost[id] = true }
+func (n *Node) MarkLost(id string) { n.lost[id] = true }
 
 // allIdle tells whether every voter is idle, or lost, and a majority would grant
 // its vote.
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -112,7 +112,7 @@
 
 // sticky tells whether a leader was heard so lately that its lease may live.
 func (n *Node) sticky(now time.Time) bool {
-	return n.role == Leader && n.Lead(now) || now.Sub(n.lastHeard) < n.cfg.ElectionMin
+	return n.role == Leader && n.IsLeader(now) || now.Sub(n.lastHeard) < n.cfg.ElectionMin
 }
 
 func (n *Node) onPreVote(now time.Time, p Packet) {
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -64,15 +64,15 @@
 // ChangeMembers proposes one step of membership. At most one may be under way,
 // and a learner is promoted only after it has caught up.
 func (n *Node) ChangeMembers(now time.Time, c Change) (uint64, error) {
-	if !n.Lead(now) {
+	if !n.IsLeader(now) {
 		return 0, ErrNotLeader
 	}
 	if n.membersIndex > n.commit {
-		return 0, ErrPending
+		return 0, ErrChangePending
 	}
 	m, ok := n.changed(c)
 	if !ok {
-		return 0, ErrMembers
+		return 0, ErrInvalidChange
 	}
 	index := n.append(Entry{Members: &m})
 	n.broadcast(now)
@@ -86,7 +86,7 @@
 	switch {
 	case c.Add != "" && !isVoter && !isLearner:
 		m.Learners = append(m.Learners, c.Add)
-	case c.Promote != "" && isLearner && n.Caught(c.Promote):
+	case c.Promote != "" && isLearner && n.CaughtUp(c.Promote):
 		m.Learners = remove(m.Learners, c.Promote)
 		m.Voters = append(m.Voters, c.Promote)
 	case c.Remove != "" && (isLearner || isVoter && len(m.Voters) > 1):
--- a/consensus/message.go
+++ b/consensus/message.go
@@ -55,7 +55,7 @@
 	// Members is the new membership, in the entries that change it.
 	Members *Members `cbor:"4,keyasint,omitempty"`
 	// Unread tells why the entry could not be read; it has nothing else then.
-	Unread error `cbor:"-"`
+	DecodeErr error `cbor:"-"`
 }
 
 // Members is the membership of the group.
@@ -71,5 +71,5 @@
 	Members Members `cbor:"3,keyasint"`
 	Data    []byte  `cbor:"4,keyasint"`
 	// Unread tells why the snapshot could not be read; it has nothing else then.
-	Unread error `cbor:"-"`
+	DecodeErr error `cbor:"-"`
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -12,13 +12,13 @@
 type Config struct {
 	ID string
 	// HeartbeatEvery is the time between two rounds of a leader.
-	HeartbeatEvery time.Duration
+	HeartbeatInterval time.Duration
 	// ElectionMin is how long a voter that heard from a leader grants no
 	// other votes; elections start between ElectionMin and ElectionMax.
 	ElectionMin, ElectionMax time.Duration
 	// Drift bounds how much faster one clock runs than another, as a share.
 	// The leader lease is shortened by it.
-	Drift float64
+	MaxClockDrift float64
 }
 
 // Hard is the state that must be synced before any answer.
@@ -67,9 +67,9 @@
 
 // Errors of proposals.
 var (
-	ErrNotLeader = errors.New("consensus: not the leader with a live lease")
-	ErrPending   = errors.New("consensus: another membership change is not committed yet")
-	ErrMembers   = errors.New("consensus: the membership change makes no sense")
+	ErrNotLeader     = errors.New("consensus: not the leader with a live lease")
+	ErrChangePending = errors.New("consensus: another membership change is not committed yet")
+	ErrInvalidChange = errors.New("consensus: the membership change makes no sense")
 )
 
 // progress is what a leader knows of another replica.
@@ -153,7 +153,7 @@
 }
 
 // Take returns what is to be done, and forgets it.
-func (n *Node) Take() Ready {
+func (n *Node) Ready() Ready {
 	out := n.out
 	n.out = Ready{}
 	if n.failed {
@@ -177,7 +177,7 @@
 
 // Fail tells that the disk refused a write or a sync: the replica answers
 // nothing and votes for nobody from now on.
-func (n *Node) Fail() {
+func (n *Node) MarkFailed() {
 	n.failed = true
 	n.role = Follower
 	n.leader = ""
@@ -212,18 +212,18 @@
 
 // Lead tells whether this replica is the leader under a live lease, and has
 // committed an entry of its own term: only then is what it knows current.
-func (n *Node) Lead(now time.Time) bool {
+func (n *Node) IsLeader(now time.Time) bool {
 	if n.role != Leader || n.failed || n.commit < n.firstOwn {
 		return false
 	}
-	length := time.Duration(float64(n.cfg.ElectionMin) * (1 - n.cfg.Drift))
+	length := time.Duration(float64(n.cfg.ElectionMin) * (1 - n.cfg.MaxClockDrift))
 	return now.Before(n.quorumAck(now).Add(length))
 }
 
 // Fresh tells whether what is committed here is current to within the election
 // time: this replica leads, or has heard from a leader under its lease.
 func (n *Node) Fresh(now time.Time) bool {
-	return n.Lead(now) || !n.failed && n.role == Follower && now.Sub(n.freshAt) < n.cfg.ElectionMin
+	return n.IsLeader(now) || !n.failed && n.role == Follower && now.Sub(n.freshAt) < n.cfg.ElectionMin
 }
 
 // quorumAck returns the time at which the newest round was sent that a
@@ -249,7 +249,7 @@
 
 // Propose appends a command; it is accepted once it is in Committed.
 func (n *Node) Propose(now time.Time, data []byte) (index uint64, err error) {
-	if !n.Lead(now) {
+	if !n.IsLeader(now) {
 		return 0, ErrNotLeader
 	}
 	e := n.append(Entry{Data: data})
@@ -317,13 +317,13 @@
 	return Status{
 		ID: n.cfg.ID, Role: n.role.String(), Term: n.hard.Term, Leader: n.leader, Commit: n.commit, Applied: n.applied,
 		Last: n.log.last(), First: n.log.snap.Index + 1, Members: n.members, Pending: n.membersIndex > n.commit,
-		Lease: n.Lead(now), Failed: n.failed, Lost: slices.Sorted(maps.Keys(n.lost)),
+		Lease: n.IsLeader(now), Failed: n.failed, Lost: slices.Sorted(maps.Keys(n.lost)),
 	}
 }
 
 // Silence returns how long another replica has not acknowledged this leader;
 // zero if this replica does not lead, or knows none of that name.
-func (n *Node) Silence(now time.Time, id string) time.Duration {
+func (n *Node) TimeSinceAck(now time.Time, id string) time.Duration {
 	p := n.peers[id]
 	if n.role != Leader || p == nil {
 		return 0
@@ -338,7 +338,7 @@
 func (n *Node) Term() uint64 { return n.hard.Term }
 
 // Caught tells whether a replica has all but a few entries of the leader's log.
-func (n *Node) Caught(id string) bool {
+func (n *Node) CaughtUp(id string) bool {
 	const near = 16
 	p := n.peers[id]
 	return n.role == Leader && p != nil && !p.installing && p.match+near >= n.commit && p.match > 0
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -17,7 +17,7 @@
 
 // Step takes a packet from another replica.
 func (n *Node) Step(now time.Time, p Packet) {
-	if n.failed || p.To != n.cfg.ID || p.Unread() != nil {
+	if n.failed || p.To != n.cfg.ID || p.DecodeErr() != nil {
 		return
 	}
 	switch p.Kind {
@@ -127,7 +127,7 @@
 
 // broadcast sends a round of Appends to all replicas.
 func (n *Node) broadcast(now time.Time) {
-	n.beatDue = now.Add(n.cfg.HeartbeatEvery)
+	n.beatDue = now.Add(n.cfg.HeartbeatInterval)
 	n.seq++
 	n.sentAt[n.seq] = now
 	delete(n.sentAt, n.seq-maxSent)
@@ -155,7 +155,7 @@
 	entries := bounded(n.log.between(p.next, min(n.log.last(), prev+maxEntries)))
 	n.send(Packet{
 		Kind: Append, To: id, Term: n.hard.Term, Index: prev, LogTerm: n.log.term(prev),
-		Entries: entries, Commit: n.commit, Seq: n.seq, OK: n.Lead(now), Stamp: p.stamp,
+		Entries: entries, Commit: n.commit, Seq: n.seq, OK: n.IsLeader(now), Stamp: p.stamp,
 	})
 	p.next += uint64(len(entries))
 }
--- a/control/apply.go
+++ b/control/apply.go
@@ -12,7 +12,7 @@
 // requires: snapshot, disk, network, state machine. Callers hold c.mu.
 func (c *Control) processReady(now time.Time) {
 	for {
-		r := c.node.Take()
+		r := c.node.Ready()
 		if r.Empty() {
 			return
 		}
--- a/control/change.go
+++ b/control/change.go
@@ -181,7 +181,7 @@
 // leads reports whether this replica leads under its lease. A closed replica does not, even
 // if its lease has not expired. Callers hold c.mu.
 func (c *Control) leads(now time.Time) bool {
-	return c.node != nil && c.ctx.Err() == nil && c.node.Lead(now)
+	return c.node != nil && c.ctx.Err() == nil && c.node.IsLeader(now)
 }
 
 // isCurrent reports whether this replica is sure to have the newest state: it leads, or is
@@ -217,11 +217,11 @@
 // reconcile brings the membership of the log in line with the settings, one step at a time.
 // Callers hold c.mu.
 func (c *Control) reconcile(now time.Time) {
-	if !c.node.Lead(now) || c.store.Tree() == nil || len(c.store.Tree().Fleet.Control) == 0 {
+	if !c.node.IsLeader(now) || c.store.Tree() == nil || len(c.store.Tree().Fleet.Control) == 0 {
 		return
 	}
 	members := c.node.Status(now).Members
-	step := nextStep(members, configuredNames(c.store.Tree()), c.joinable(), c.node.Caught)
+	step := nextStep(members, configuredNames(c.store.Tree()), c.joinable(), c.node.CaughtUp)
 	if step == (consensus.Change{}) {
 		return
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -274,7 +274,7 @@
 func (c *Control) raftConfig(id string) consensus.Config {
 	minElection := cmp.Or(c.cfg.ElectionMin, electionMin)
 	return consensus.Config{
-		ID: id, HeartbeatEvery: cmp.Or(c.cfg.HeartbeatEvery, raftHeartbeatEvery), ElectionMin: minElection, ElectionMax: 2 * minElection, Drift: clockDrift,
+		ID: id, HeartbeatInterval: cmp.Or(c.cfg.HeartbeatEvery, raftHeartbeatEvery), ElectionMin: minElection, ElectionMax: 2 * minElection, MaxClockDrift: clockDrift,
 	}
 }
 
@@ -376,7 +376,7 @@
 
 func (c *Control) updateLeadership(now time.Time) {
 	c.hub.setLeader(baseName(c.node.Leader()))
-	leads := c.node.Lead(now)
+	leads := c.node.IsLeader(now)
 	if leads == c.wasLeader {
 		return
 	}
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -95,12 +95,12 @@
 // discover brings the membership in line with the replicas that are connected. Callers hold
 // c.mu.
 func (c *Control) discover(now time.Time) {
-	if !c.node.Lead(now) {
+	if !c.node.IsLeader(now) {
 		return
 	}
 	m := membership{
-		members: c.node.Status(now).Members, voters: c.cfg.Discovery.Voters, caught: c.node.Caught,
-		silence: func(id string) time.Duration { return c.node.Silence(now, id) },
+		members: c.node.Status(now).Members, voters: c.cfg.Discovery.Voters, caught: c.node.CaughtUp,
+		silence: func(id string) time.Duration { return c.node.TimeSinceAck(now, id) },
 	}
 	m.connected = c.joinable()
 	step := m.step()
--- a/control/disk.go
+++ b/control/disk.go
@@ -79,7 +79,7 @@
 // longer certain. Callers hold c.mu.
 func (c *Control) handleDiskFailure(now time.Time, err error) {
 	event.JournalFailed.Log(c.log, "error", fault.From(err))
-	c.node.Fail()
+	c.node.MarkFailed()
 	c.diskRetryAt = now.Add(diskRetryEvery)
 }
 
--- a/control/identity.go
+++ b/control/identity.go
@@ -72,7 +72,7 @@
 	}
 	for _, v := range c.node.Status(c.clock.Now()).Members.Voters {
 		if v != id && baseName(v) == baseName(id) {
-			c.node.NoteLost(v)
+			c.node.MarkLost(v)
 		}
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -12,7 +12,7 @@
 // replica leads under its lease. Callers hold c.mu.
 func (c *Control) issueOrders(now time.Time) {
 	tree := c.store.Tree()
-	if tree == nil || !c.node.Lead(now) {
+	if tree == nil || !c.node.IsLeader(now) {
 		return
 	}
 	if now.Sub(c.floorSentAt) >= floorSendEvery {
--- a/control/unreadable.go
+++ b/control/unreadable.go
@@ -39,7 +39,7 @@
 // stopAtEntry ends the replica's participation in the group at a committed command that it
 // can't read. Callers hold c.mu.
 func (c *Control) stopAtEntry(index uint64, err error) {
-	c.node.Stop(index)
+	c.node.StopAt(index)
 	c.recordUnreadable(unreadableCommand, fmt.Errorf("entry %d: %w", index, err))
 }
 
@@ -53,7 +53,7 @@
 // the commands in its entries: a command that is not stored is not acknowledged, so a
 // replica that can't apply it does not count towards its commit.
 func (c *Control) checkReadable(p *consensus.Packet) error {
-	if err := p.Unread(); err != nil {
+	if err := p.DecodeErr(); err != nil {
 		return err
 	}
 	for i := range p.Entries {
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -113,7 +113,7 @@
 			versions := hello.Range()
 			member.Versions, member.Build = &versions, hello.Build
 		}
-		member.Silent = id != c.id && (!c.hasLink(id) || c.node.Silence(now, id) > silentAfter)
+		member.Silent = id != c.id && (!c.hasLink(id) || c.node.TimeSinceAck(now, id) > silentAfter)
 		out = append(out, member)
 	}
 	return out
@@ -123,7 +123,7 @@
 // c.mu.
 func (c *Control) raiseVersionIfReady(now time.Time) {
 	c.forgetHellos(now)
-	if !c.node.Lead(now) {
+	if !c.node.IsLeader(now) {
 		return
 	}
 	u := c.upgradeStatusLocked(now)
--- a/wal/record.go
+++ b/wal/record.go
@@ -102,12 +102,12 @@
 		return record{}, newer(body, fmt.Errorf("the head %08x does not go with version %d", head, r.Version))
 	}
 	for i := range r.Entries {
-		if err := r.Entries[i].Unread; err != nil {
+		if err := r.Entries[i].DecodeErr; err != nil {
 			return record{}, newer(body, err)
 		}
 	}
-	if r.Snapshot != nil && r.Snapshot.Unread != nil {
-		return record{}, newer(body, r.Snapshot.Unread)
+	if r.Snapshot != nil && r.Snapshot.DecodeErr != nil {
+		return record{}, newer(body, r.Snapshot.DecodeErr)
 	}
 	return r, nil
 }
