--- a/control/apply.go
+++ b/control/apply.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	if r.Snapshot != nil {
-		return c.disk.Snapshot(*r.Snapshot, c.node.Hard(), c.node.Entries())
+		return c.disk.SaveSnapshot(*r.Snapshot, c.node.Hard(), c.node.Entries())
 	}
 	if r.Hard == nil && len(r.Entries) == 0 {
 		return nil
@@ -118,7 +118,7 @@
 	if c.disk == nil {
 		return
 	}
-	if err := c.disk.Snapshot(s, c.node.Hard(), c.node.Entries()); err != nil {
+	if err := c.disk.SaveSnapshot(s, c.node.Hard(), c.node.Entries()); err != nil {
 		c.handleDiskFailure(c.clock.Now(), err)
 	}
 }
--- a/control/control.go
+++ b/control/control.go
@@ -217,8 +217,8 @@
 		}
 		return nil, consensus.Restored{}, false, err
 	}
-	if o.Cut > 0 {
-		event.JournalTorn.Log(c.log, "bytes", o.Cut)
+	if o.TruncatedBytes > 0 {
+		event.JournalTorn.Log(c.log, "bytes", o.TruncatedBytes)
 	}
 	return j, o.Restored, o.New, nil
 }
@@ -239,7 +239,7 @@
 		first.Voters = c.founders()
 		r = consensus.Bootstrap(sortMembers(first))
 		if c.disk != nil {
-			if err := c.disk.Snapshot(r.Snapshot, r.Hard, nil); err != nil {
+			if err := c.disk.SaveSnapshot(r.Snapshot, r.Hard, nil); err != nil {
 				return err
 			}
 		}
--- a/control/disk.go
+++ b/control/disk.go
@@ -106,5 +106,5 @@
 // rewriteDisk writes and syncs again what was read: after a failed sync, the files may show
 // data that the disk does not hold.
 func (c *Control) rewriteDisk(r consensus.Restored) error {
-	return c.disk.Snapshot(r.Snapshot, r.Hard, r.Entries)
+	return c.disk.SaveSnapshot(r.Snapshot, r.Hard, r.Entries)
 }
--- a/wal/newer.go
+++ b/wal/newer.go
@@ -11,23 +11,23 @@
 
 // Newer tells that a record is whole and that this build can't read it: a newer one wrote it.
 // It is no torn tail, since it was synced and may have been acknowledged.
-type Newer struct {
+type NewerBuildError struct {
 	// Version is the fleet's version under which it was written; zero if it does not tell.
 	Version int
 	// Why is what can't be read.
-	Why error
+	Err error
 }
 
 // Error tells the version, or what can't be read.
-func (n *Newer) Error() string {
+func (n *NewerBuildError) Error() string {
 	if n.Version > compat.Newest {
 		return fmt.Sprintf("written by version %d, and this build reads up to %d", n.Version, compat.Newest)
 	}
-	return fmt.Sprintf("written by a newer build: %v", n.Why)
+	return fmt.Sprintf("written by a newer build: %v", n.Err)
 }
 
 // Unwrap returns what can't be read.
-func (n *Newer) Unwrap() error { return n.Why }
+func (n *NewerBuildError) Unwrap() error { return n.Err }
 
 // newer returns the error for the content of a record that can't be read.
 func newer(body []byte, why error) error {
@@ -35,11 +35,11 @@
 		Version int `cbor:"4,keyasint"`
 	}
 	_ = cbor.Unmarshal(body, &r) // what can't be read at all tells no version
-	return &Newer{Version: r.Version, Why: why}
+	return &NewerBuildError{Version: r.Version, Err: why}
 }
 
 // asNewer tells whether an error is that of a newer build's record.
 func asNewer(err error) bool {
-	var n *Newer
+	var n *NewerBuildError
 	return errors.As(err, &n)
 }
--- a/wal/record.go
+++ b/wal/record.go
@@ -113,7 +113,7 @@
 }
 
 // ErrBroken tells that a record is damaged though a whole one follows it.
-var ErrBroken = errors.New("journal: a record is damaged and a whole one follows it")
+var ErrCorrupt = errors.New("journal: a record is damaged and a whole one follows it")
 
 // ErrGap tells that the entries do not follow each other.
 var ErrGap = errors.New("journal: entries are missing")
@@ -129,7 +129,7 @@
 		case asNewer(err):
 			return 0, err
 		case wholeAfter(data[good+1:]):
-			return 0, ErrBroken
+			return 0, ErrCorrupt
 		default:
 			return good, nil
 		}
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -42,47 +42,47 @@
 }
 
 // Opened tells what Open found.
-type Opened struct {
+type OpenResult struct {
 	Restored consensus.Restored
 	// Cut is the number of bytes of a torn tail.
-	Cut int64
+	TruncatedBytes int64
 	// New tells that there was no journal.
 	New bool
 }
 
 // Open reads the journal in a folder, which must exist.
-func Open(dir string) (*Journal, Opened, error) { return OpenWith(dir, nil) }
+func Open(dir string) (*Journal, OpenResult, error) { return OpenWith(dir, nil) }
 
 // OpenWith is Open with another way to open the log file.
-func OpenWith(dir string, open OpenFile) (*Journal, Opened, error) {
+func OpenWith(dir string, open OpenFile) (*Journal, OpenResult, error) {
 	return OpenChecked(dir, open, func([]byte) error { return nil })
 }
 
 // OpenChecked is OpenWith for whoever can tell whether the data of the snapshot can be read:
 // a folder that can't be is left as it is.
-func OpenChecked(dir string, open OpenFile, readable func(data []byte) error) (*Journal, Opened, error) {
+func OpenChecked(dir string, open OpenFile, readable func(data []byte) error) (*Journal, OpenResult, error) {
 	if open == nil {
 		open = openFile
 	}
 	j := &Journal{dir: dir, open: open}
 	snap, err := j.readSnapshot(readable)
 	if err != nil {
-		return nil, Opened{}, err
+		return nil, OpenResult{}, err
 	}
-	out := Opened{Restored: consensus.Restored{Snapshot: snap}}
+	out := OpenResult{Restored: consensus.Restored{Snapshot: snap}}
 	data, err := os.ReadFile(j.logPath())
 	if errors.Is(err, fs.ErrNotExist) {
 		out.New = snap.Index == 0
 	} else if err != nil {
-		return nil, Opened{}, fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
+		return nil, OpenResult{}, fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
 	}
 	good, err := Replay(data, &out.Restored)
 	if err != nil {
-		return nil, Opened{}, j.unread(err, j.logPath())
+		return nil, OpenResult{}, j.unread(err, j.logPath())
 	}
-	out.Cut = int64(len(data) - good)
-	if err := j.start(int64(good), out.Cut > 0); err != nil {
-		return nil, Opened{}, err
+	out.TruncatedBytes = int64(len(data) - good)
+	if err := j.start(int64(good), out.TruncatedBytes > 0); err != nil {
+		return nil, OpenResult{}, err
 	}
 	return j, out, nil
 }
@@ -135,7 +135,7 @@
 		return consensus.Snapshot{}, j.unread(errors.New("the snapshot is damaged"), j.snapshotPath())
 	}
 	if err := readable(rec.Snapshot.Data); err != nil {
-		return consensus.Snapshot{}, j.unread(&Newer{Version: rec.Version, Why: err}, j.snapshotPath())
+		return consensus.Snapshot{}, j.unread(&NewerBuildError{Version: rec.Version, Err: err}, j.snapshotPath())
 	}
 	j.version = rec.Version
 	return *rec.Snapshot, nil
@@ -164,7 +164,7 @@
 
 // Snapshot makes a snapshot durable and drops the log that it covers; hard and
 // entries are what is kept after it.
-func (j *Journal) Snapshot(s consensus.Snapshot, hard consensus.Hard, entries []consensus.Entry) error {
+func (j *Journal) SaveSnapshot(s consensus.Snapshot, hard consensus.Hard, entries []consensus.Entry) error {
 	if j.broken != nil {
 		return j.broken
 	}
