--- a/agent/agent.go
+++ b/agent/agent.go
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	opts := lease.Options{TTL: firstLease, CancelInterval: cancelEvery}
 	a := &Agent{
-		cfg: cfg, log: cfg.Log.With("role", "agent", "name", cfg.Name), epoch: clock.Day().UnixNano(),
+		cfg: cfg, log: cfg.Log.With("role", "agent", "name", cfg.Name), epoch: clock.WallTime().UnixNano(),
 		ctx: ctx, cancel: cancel, work: lease.New(0, opts), kv: lease.New(kvSlots, opts),
 		jobs: map[lease.ID]*job{}, links: map[string]*wire.Link{}, orphans: map[lease.ID]time.Time{},
 		calls: map[lease.ID]time.Time{}, parted: map[string]time.Time{}, records: decision.NewRing(records), registry: newRegistry(),
@@ -225,7 +225,7 @@
 // note adds a step to the record of a request. Callers hold the lock.
 func (a *Agent) note(id lease.ID, kind decision.Kind, detail string) {
 	a.records.GetOrCreate(id.Req).Add(decision.Step{
-		At: clock.Day(), Kind: kind, Attempt: id.Attempt, Process: a.cfg.Name, Server: a.cfg.Name, Detail: detail,
+		At: clock.WallTime(), Kind: kind, Attempt: id.Attempt, Process: a.cfg.Name, Server: a.cfg.Name, Detail: detail,
 	})
 }
 
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -34,7 +34,7 @@
 	}
 	defer f.Cancel()
 	c.Response().Header().Set(echo.HeaderXRequestID, f.ID)
-	a := &answer{c: c, flow: f, chat: chat, model: p.Request.Model, created: clock.Day().Unix(), usage: p.Usage}
+	a := &answer{c: c, flow: f, chat: chat, model: p.Request.Model, created: clock.WallTime().Unix(), usage: p.Usage}
 	if p.Stream {
 		return a.stream()
 	}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -19,7 +19,7 @@
 	// nanoseconds.
 	Read func() (steady time.Duration, day int64)
 	// Boot returns the steady time that counts suspension, since some moment.
-	Boot func() (time.Duration, error)
+	BootTime func() (time.Duration, error)
 }
 
 // Clock tells the time. A nil Clock is the one of the VM. It is safe for concurrent use.
@@ -44,13 +44,13 @@
 func New(s Source) *Clock {
 	c := &Clock{source: s}
 	c.steady, c.day = s.Read()
-	c.boot, _ = s.Boot()
+	c.boot, _ = s.BootTime()
 	c.epoch = time.Unix(0, c.day)
 	return c
 }
 
 // VM is the clock of this VM.
-var VM = New(Source{Read: read, Boot: boot})
+var VM = New(Source{Read: read, BootTime: boot})
 
 var processStart = time.Now()
 
@@ -92,7 +92,7 @@
 // look finds out how much of the time the VM was suspended. A kernel that does not tell
 // leaves it as it was: the time of day may have jumped for other reasons.
 func (c *Clock) look(shift int64) {
-	if boot, err := c.source.Boot(); err == nil {
+	if boot, err := c.source.BootTime(); err == nil {
 		steady, _ := c.source.Read()
 		c.away.Store(max(int64(boot-c.boot)-int64(steady-c.steady), c.away.Load()))
 	}
@@ -106,7 +106,7 @@
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
 // Day returns the time of day, for people and for documents only.
-func Day() time.Time { return time.Now() }
+func WallTime() time.Time { return time.Now() }
 
 // Deadline returns the moment after a while, for the deadlines of connections, which the
 // runtime takes by its own clock.
--- a/control/control.go
+++ b/control/control.go
@@ -162,7 +162,7 @@
 		cfg.SnapshotEvery = DefaultSnapshotEvery
 	}
 	c := &Control{
-		cfg: cfg, clock: cfg.Clock, log: cfg.Log.With("role", "control", "name", cfg.Name), epoch: clock.Day().UnixNano(),
+		cfg: cfg, clock: cfg.Clock, log: cfg.Log.With("role", "control", "name", cfg.Name), epoch: clock.WallTime().UnixNano(),
 		ctx: ctx, cancel: cancel, state: fleet.New(), waiters: map[string][]chan fleet.Result{},
 		peerLinks: map[string]*peerLink{}, downstream: map[*wire.Link]bool{}, connected: map[string]int{}, replicaLinks: map[*wire.Link]bool{}, lastHello: map[string]wire.Hello{}, requiredVersion: compat.Base, askedToFound: map[string]bool{}, zoneSummaries: map[string]*wire.Summary{},
 		quotaBroker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.QuotaBounds), rejectionLog: event.Limiter{Every: rejectionLogEvery, Most: maxRejectionLogKeys},
@@ -261,7 +261,7 @@
 	if err := c.requireVersion(state.Version()); err != nil {
 		return err
 	}
-	rng := rand.New(rand.NewPCG(uint64(c.epoch), uint64(clock.Day().UnixNano())))
+	rng := rand.New(rand.NewPCG(uint64(c.epoch), uint64(clock.WallTime().UnixNano())))
 	c.node = consensus.New(c.raftConfig(c.id), r, r.Snapshot.Members, c.clock.Now(), rng)
 	for id := range c.connected {
 		c.markReplacedVoters(id)
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -44,7 +44,7 @@
 		return "", nil, fault.Wrap(err, fault.ChangeOutcomeUnknown, fault.StepSettings, "operator")
 	}
 	return c.proposeUnique(now, "evacuation of "+zone, fleet.Change{
-		When: clock.Day().UnixNano(), Evacuation: &fleet.Evacuation{Zone: zone, Finished: finished},
+		When: clock.WallTime().UnixNano(), Evacuation: &fleet.Evacuation{Zone: zone, Finished: finished},
 	})
 }
 
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -80,7 +80,7 @@
 		out.Next = out.Version + 1
 	}
 	if since := c.gate.SupportedSince(); out.Next != 0 && !since.IsZero() {
-		day := clock.Day().Add(since.Sub(now)).UTC()
+		day := clock.WallTime().Add(since.Sub(now)).UTC()
 		out.Since = &day
 		out.AutomaticBlockers = c.gate.CheckSettled(now, c.settleTime())
 	}
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -79,7 +79,7 @@
 func (e *Entry) tell(id string, c ServiceCall, s decision.Step) {
 	rec := e.story.GetOrCreate(id)
 	rec.Customer, rec.Class = c.Grant.Customer, c.Grant.Class
-	s.At, s.Process = clock.Day(), e.cfg.Name
+	s.At, s.Process = clock.WallTime(), e.cfg.Name
 	rec.Add(s)
 }
 
