--- a/agent/claims.go
+++ b/agent/claims.go
@@ -33,7 +33,7 @@
 		return
 	}
 	event.VoterCold.Log(a.log, "service", key.service, "site", key.site)
-	var peers []settings.Placed
+	var peers []settings.PlacedServer
 	for _, name := range members {
 		if p, ok := tree.Server(name); ok && name != a.cfg.Name {
 			peers = append(peers, p)
@@ -60,7 +60,7 @@
 const copyEvery = 300 * time.Millisecond
 
 // warmUp copies the grants of the other members until the voter votes.
-func (a *Agent) warmUp(v *claim.Voter, peers []settings.Placed) {
+func (a *Agent) warmUp(v *claim.Voter, peers []settings.PlacedServer) {
 	for a.ctx.Err() == nil {
 		for _, p := range peers {
 			a.copyFrom(v, p)
@@ -77,7 +77,7 @@
 }
 
 // copyFrom asks one member for its grants over a link of its own.
-func (a *Agent) copyFrom(v *claim.Voter, p settings.Placed) {
+func (a *Agent) copyFrom(v *claim.Voter, p settings.PlacedServer) {
 	ctx, cancel := context.WithTimeout(a.ctx, copyTimeout)
 	defer cancel()
 	l, err := a.dialer.Dial(ctx, p.Agent, wire.Options{Hello: a.hello, Token: a.cfg.Token, TLS: a.cfg.TLS})
--- a/control/change.go
+++ b/control/change.go
@@ -146,7 +146,7 @@
 		edits[i] = e.String()
 	}
 	return fleet.Change{
-		ID: p.ID, Base: p.Base, Delta: settings.MakeDelta(c.state.Text(), p.Text), Sum: sha256.Sum256(p.Text),
+		ID: p.ID, Base: p.Base, Delta: settings.NewDelta(c.state.Text(), p.Text), Sum: sha256.Sum256(p.Text),
 		Who: p.Who, Note: p.Note, When: clock.WallTime().UnixNano(), Edits: edits[:min(len(edits), fleet.MaxEdits)],
 	}, edits, nil
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -25,7 +25,7 @@
 	}
 	limits := order.StoreRates{}
 	for site := range tree.Fleet.Sites {
-		limits[site] = tree.At(site, "", "").WeightRate
+		limits[site] = tree.EffectiveAt(site, "", "").WeightRate
 	}
 	for _, o := range c.planner.Plan(now, c.node.Term(), c.orderServers(tree), models, limits) {
 		p, ok := tree.Server(o.Server)
--- a/control/zones.go
+++ b/control/zones.go
@@ -53,7 +53,7 @@
 	if tree == nil {
 		return
 	}
-	limit := tree.At("", "", "").OpenLimit
+	limit := tree.EffectiveAt("", "", "").OpenLimit
 	out := &wire.Lent{}
 	for _, a := range m.Asks {
 		cust, ok := tree.Fleet.Customers[a.Customer]
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -20,7 +20,7 @@
 type agentLink struct {
 	name   string
 	addr   string
-	placed settings.Placed
+	placed settings.PlacedServer
 	stop   context.CancelFunc
 	link   *wire.Link // nil while it is down
 	// leaving is the agent's own report that its server takes no new work.
@@ -38,7 +38,7 @@
 
 // dialAgent starts the loop that keeps a link to an agent. Callers hold the
 // lock.
-func (e *Entry) dialAgent(p settings.Placed) {
+func (e *Entry) dialAgent(p settings.PlacedServer) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	a := &agentLink{name: p.Name, addr: p.Agent, placed: p, stop: cancel, gone: true}
 	e.agents[p.Name] = a
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -124,7 +124,7 @@
 func (e *Entry) apply(now time.Time) {
 	tree := e.store.Tree()
 	e.grants = tree.Grants()
-	e.fleet = tree.At("", "", "")
+	e.fleet = tree.EffectiveAt("", "", "")
 	e.core.SetLimits(e.fleet.QueueLimit, e.fleet.RetryPercent, e.fleet.StallAfter)
 	seen := map[string]bool{}
 	servers := tree.Servers()
@@ -158,7 +158,7 @@
 	e.core.View().Remove(name)
 }
 
-func (e *Entry) modelLimits(tree *settings.Tree, servers []settings.Placed) map[string]settings.Effective {
+func (e *Entry) modelLimits(tree *settings.Tree, servers []settings.PlacedServer) map[string]settings.Effective {
 	out := map[string]settings.Effective{}
 	for _, p := range servers {
 		if p.Role != settings.RolePrefill || p.Zone != e.cfg.Zone {
@@ -166,14 +166,14 @@
 		}
 		for _, m := range p.Models {
 			if _, ok := out[m]; !ok {
-				out[m] = tree.At(p.Site, p.Pool, m)
+				out[m] = tree.EffectiveAt(p.Site, p.Pool, m)
 			}
 		}
 	}
 	return out
 }
 
-func (e *Entry) applyServer(p settings.Placed) {
+func (e *Entry) applyServer(p settings.PlacedServer) {
 	info := placement.ServerConfig{
 		Name: p.Name, Zone: p.Zone, Role: p.Role, Slots: p.Slots, LinkRate: float64(p.LinkRate),
 	}
--- a/entry/spill.go
+++ b/entry/spill.go
@@ -25,7 +25,7 @@
 // linked tells whether the entry of a large fleet keeps a link to a server of
 // another zone: those of plain services, which vote on claims, and those that
 // are borrowed.
-func (e *Entry) linked(p settings.Placed) bool {
+func (e *Entry) linked(p settings.PlacedServer) bool {
 	_, ok := e.borrowed[p.Name]
 	return ok || p.Role == settings.RoleService
 }
@@ -99,8 +99,8 @@
 
 // byNearness lists the servers of a zone for a model in an order that differs
 // between entries, so that they do not all borrow the same ones.
-func (e *Entry) byNearness(zone, model string) []settings.Placed {
-	var out []settings.Placed
+func (e *Entry) byNearness(zone, model string) []settings.PlacedServer {
+	var out []settings.PlacedServer
 	for _, p := range e.store.Tree().Servers() {
 		for _, m := range p.Models {
 			if p.Zone == zone && m == model {
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	rank := func(p settings.Placed) uint64 {
+	rank := func(p settings.PlacedServer) uint64 {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(e.cfg.Name + "/" + p.Name))
 		return h.Sum64()
--- a/settings/delta.go
+++ b/settings/delta.go
@@ -26,7 +26,7 @@
 }
 
 // MakeDelta returns the delta from one text to another.
-func MakeDelta(from, to []byte) Delta {
+func NewDelta(from, to []byte) Delta {
 	short := min(len(from), len(to))
 	head := 0
 	for head < short && from[head] == to[head] {
@@ -40,12 +40,12 @@
 }
 
 // ErrBase tells that a delta does not belong to the text at hand.
-var ErrBase = errors.New("settings: the delta is for another text")
+var ErrDeltaBase = errors.New("settings: the delta is for another text")
 
 // Apply returns the new text, or ErrBase if d does not fit.
 func (d Delta) Apply(from []byte) ([]byte, error) {
 	if d.Base != sha256.Sum256(from) || d.Head < 0 || d.Tail < 0 || d.Head > len(from)-d.Tail {
-		return nil, ErrBase
+		return nil, ErrDeltaBase
 	}
 	out := make([]byte, 0, d.Head+len(d.Middle)+d.Tail)
 	out = append(out, from[:d.Head]...)
--- a/settings/effective.go
+++ b/settings/effective.go
@@ -35,7 +35,7 @@
 }
 
 // Defaults are the limits above the fleet.
-func Defaults() Limits {
+func DefaultLimits() Limits {
 	return Limits{
 		MaxPromptTokens: ptr(131072),
 		MaxOutputTokens: ptr(4096),
@@ -61,7 +61,7 @@
 // layers lists the levels above a place, the highest first. Names that are
 // empty or not in the tree add no layer.
 func (t *Tree) layers(site, pool, model string) []layer {
-	out := []layer{{LevelDefault, Defaults()}, {LevelFleet, t.Fleet.Limits}}
+	out := []layer{{LevelDefault, DefaultLimits()}, {LevelFleet, t.Fleet.Limits}}
 	s, ok := t.Fleet.Sites[site]
 	if !ok {
 		return out
@@ -79,7 +79,7 @@
 }
 
 // At returns the limits in force at a place. Empty names stop at that level.
-func (t *Tree) At(site, pool, model string) Effective {
+func (t *Tree) EffectiveAt(site, pool, model string) Effective {
 	var e Effective
 	for _, l := range t.layers(site, pool, model) {
 		e.apply(l.limits)
--- a/settings/lookup.go
+++ b/settings/lookup.go
@@ -7,7 +7,7 @@
 )
 
 // Placed is a server with its place in the tree.
-type Placed struct {
+type PlacedServer struct {
 	Name, Agent       string
 	Site, Pool        string
 	Zone, Region      string
@@ -19,8 +19,8 @@
 }
 
 // Servers lists all servers in the order of their names within each pool.
-func (t *Tree) Servers() []Placed {
-	var out []Placed
+func (t *Tree) Servers() []PlacedServer {
+	var out []PlacedServer
 	for _, site := range sorted(t.Fleet.Sites) {
 		s := t.Fleet.Sites[site]
 		for _, pool := range sorted(s.Pools) {
@@ -32,11 +32,11 @@
 	return out
 }
 
-func (t *Tree) placed(site, pool, name string) Placed {
+func (t *Tree) placed(site, pool, name string) PlacedServer {
 	s := t.Fleet.Sites[site]
 	p := s.Pools[pool]
-	e := t.At(site, pool, "")
-	return Placed{
+	e := t.EffectiveAt(site, pool, "")
+	return PlacedServer{
 		Name: name, Agent: p.Servers[name].Agent, Site: site, Pool: pool,
 		Zone: s.Zone, Region: s.Region, Role: p.Role, Service: p.Service,
 		Models: sorted(p.Models), Slots: e.Slots, LinkRate: e.LinkRate,
@@ -45,7 +45,7 @@
 }
 
 // Server finds a server by name.
-func (t *Tree) Server(name string) (Placed, bool) {
+func (t *Tree) Server(name string) (PlacedServer, bool) {
 	for site, s := range t.Fleet.Sites {
 		for pool, p := range s.Pools {
 			if _, ok := p.Servers[name]; ok {
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	return Placed{}, false
+	return PlacedServer{}, false
 }
 
 // Grant is what a token lets its bearer do.
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -86,7 +86,7 @@
 	s.since = now
 	s.last = nil
 	if before != nil {
-		delta := settings.MakeDelta(before, text)
+		delta := settings.NewDelta(before, text)
 		s.last = &wire.Settings{Revision: m.Revision, Sum: m.Sum, Delta: &delta}
 	}
 }
