--- a/app/gateway.go
+++ b/app/gateway.go
@@ -110,7 +110,7 @@
 const requestMemory = 32 << 20
 
 // heldOf returns the bounds of what is held for callers; none without a bound for the process.
-func heldOf(memory strict.Bytes, h config.Held) membudget.Limits {
+func heldOf(memory strict.Bytes, h config.HeldMemory) membudget.Limits {
 	total := int64(float64(memory) * h.Share)
 	return membudget.Limits{Total: total, Organisation: int64(float64(total) * h.Organisation), Request: requestMemory}
 }
--- a/app/run.go
+++ b/app/run.go
@@ -87,7 +87,7 @@
 	}
 	c.Name, c.Zone, c.Log = p.file.Name, p.file.Zone, p.log
 	c.Members, c.Dir, c.QuotaBounds = part.Members, p.file.Data, quotaOf(part.Quota)
-	c.UpgradeAfter, c.Zones = part.Upgrade.Wait(), p.file.Zones
+	c.UpgradeAfter, c.Zones = part.Upgrade.AfterOrDefault(), p.file.Zones
 	c.ColdBounds = warmup.Bounds{Overshoot: part.Cold.Overshoot, Slack: part.Cold.Slack}
 	c.ParseTable = platform.ParseTable
 	if part.Discovery != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -105,16 +105,16 @@
 	API string `yaml:"api,omitempty"`
 	// Engines is how the leader gives the engines that gateways drive their
 	// roles.
-	Engines Engines `yaml:"engines,omitempty"`
-	Quota   Quota   `yaml:"quota,omitempty"`
-	Upgrade Upgrade `yaml:"upgrade,omitempty"`
-	Cold    Cold    `yaml:"cold,omitempty"`
+	Engines Engines   `yaml:"engines,omitempty"`
+	Quota   Quota     `yaml:"quota,omitempty"`
+	Upgrade Upgrade   `yaml:"upgrade,omitempty"`
+	Cold    ColdLimit `yaml:"cold,omitempty"`
 }
 
 // Cold tells how what cold servers get is judged, which is by the rate of their service: in no
 // second may all gateways together send one of them more than the rate times Overshoot and
 // Slack requests.
-type Cold struct {
+type ColdLimit struct {
 	Overshoot float64 `yaml:"overshoot,omitempty" check:"min=0,max=100"`
 	Slack     float64 `yaml:"slack,omitempty" check:"min=0,max=100000"`
 }
@@ -143,7 +143,7 @@
 const DefaultUpgradeAfter = DefaultDrain
 
 // Wait returns the time, or the default.
-func (u Upgrade) Wait() time.Duration {
+func (u Upgrade) AfterOrDefault() time.Duration {
 	if u.After == nil {
 		return DefaultUpgradeAfter
 	}
@@ -168,16 +168,16 @@
 	Callers string `yaml:"callers" check:"required"`
 	Ready   string `yaml:"ready" check:"required"`
 	// Seeds are addresses of some control replicas; links use LinksPort there.
-	Seeds     []string `yaml:"seeds" check:"required"`
-	LinksPort int      `yaml:"links_port" check:"required,min=1,max=65535"`
-	Retry     Retry    `yaml:"retry,omitempty"`
-	Quota     Quota    `yaml:"quota,omitempty"`
-	Held      Held     `yaml:"held,omitempty"`
+	Seeds     []string   `yaml:"seeds" check:"required"`
+	LinksPort int        `yaml:"links_port" check:"required,min=1,max=65535"`
+	Retry     Retry      `yaml:"retry,omitempty"`
+	Quota     Quota      `yaml:"quota,omitempty"`
+	Held      HeldMemory `yaml:"held,omitempty"`
 }
 
 // Held bounds the memory that a gateway holds for callers: bodies, answers and streams. Without
 // a bound for the process there is none.
-type Held struct {
+type HeldMemory struct {
 	// Share is the part of the process's memory, Organisation the part of that which the
 	// requests of one organisation may have.
 	Share        float64 `yaml:"share,omitempty" check:"min=0,max=0.7"`
@@ -185,15 +185,15 @@
 }
 
 // DefaultHeld is used where the file says nothing.
-var DefaultHeld = Held{Share: 0.4, Organisation: 0.5}
+var DefaultHeldMemory = HeldMemory{Share: 0.4, Organisation: 0.5}
 
 // orDefault fills in what the file leaves out.
-func (h Held) orDefault() Held {
+func (h HeldMemory) orDefault() HeldMemory {
 	if h.Share == 0 {
-		h.Share = DefaultHeld.Share
+		h.Share = DefaultHeldMemory.Share
 	}
 	if h.Organisation == 0 {
-		h.Organisation = DefaultHeld.Organisation
+		h.Organisation = DefaultHeldMemory.Organisation
 	}
 	return h
 }
