--- a/consensus/election.go
+++ b/consensus/election.go
@@ -9,7 +9,7 @@
 
 func (n *Node) resetElection(now time.Time) {
 	if n.idle {
-		n.electionDue = n.idleDue(now)
+		n.electionDue = n.idleElectionDue(now)
 		return
 	}
 	spread := int64(n.cfg.ElectionMax - n.cfg.ElectionMin)
@@ -17,7 +17,7 @@
 }
 
 // follow makes the replica a follower in a term; leader may be empty.
-func (n *Node) follow(now time.Time, term uint64, leader string) {
+func (n *Node) becomeFollower(now time.Time, term uint64, leader string) {
 	if term > n.hard.Term {
 		n.hard = Hard{Term: term}
 		n.hardDirty = true
@@ -39,10 +39,10 @@
 	n.role = PreCandidate
 	n.leader = ""
 	n.votes = map[string]bool{n.cfg.ID: true}
-	n.idles = map[string]bool{n.cfg.ID: true}
+	n.idleVoters = map[string]bool{n.cfg.ID: true}
 	n.preRound++
 	n.resetElection(now)
-	n.ask(PreVote, n.hard.Term+1)
+	n.requestVotes(PreVote, n.hard.Term+1)
 	n.countVotes(now)
 }
 
@@ -53,43 +53,43 @@
 	n.hardDirty = true
 	n.votes = map[string]bool{n.cfg.ID: true}
 	n.resetElection(now)
-	n.forced = forced
-	n.ask(Vote, n.hard.Term)
+	n.idleElection = forced
+	n.requestVotes(Vote, n.hard.Term)
 	n.countVotes(now)
 }
 
-func (n *Node) ask(kind Kind, term uint64) {
+func (n *Node) requestVotes(kind Kind, term uint64) {
 	for _, v := range n.members.Voters {
 		if v != n.cfg.ID {
-			n.send(Packet{Kind: kind, To: v, Term: term, Index: n.log.last(), LogTerm: n.log.lastTerm(), Seq: n.preRound, Idle: kind == Vote && n.forced})
+			n.send(Packet{Kind: kind, To: v, Term: term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Seq: n.preRound, Idle: kind == Vote && n.idleElection})
 		}
 	}
 }
 
 func (n *Node) countVotes(now time.Time) {
-	yes := 0
+	granted := 0
 	for _, v := range n.members.Voters {
 		if n.votes[v] {
-			yes++
+			granted++
 		}
 	}
 	if n.role == PreCandidate && n.allIdle() {
 		n.startElection(now)
 		return
 	}
-	if yes < majority(len(n.members.Voters)) {
+	if granted < majority(len(n.members.Voters)) {
 		return
 	}
 	if n.role == PreCandidate {
 		n.startElection(now)
 		return
 	}
-	n.lead(now)
+	n.becomeLeader(now)
 }
 
 // lead makes the replica the leader. The entry without a command that it
 // appends lets it know which older entries are committed.
-func (n *Node) lead(now time.Time) {
+func (n *Node) becomeLeader(now time.Time) {
 	n.idle = false
 	n.role = Leader
 	n.leader = n.cfg.ID
@@ -97,9 +97,9 @@
 	n.peers = map[string]*progress{}
 	n.sentAt = map[uint64]time.Time{}
 	n.syncPeers(now)
-	n.firstOwn = n.append(Entry{})
+	n.firstIndexOfTerm = n.append(Entry{})
 	n.broadcast(now)
-	n.advance(now)
+	n.advanceCommit(now)
 }
 
 // upToDate tells whether a candidate's log has all that this one has.
@@ -107,17 +107,17 @@
 	if p.LogTerm != n.log.lastTerm() {
 		return p.LogTerm > n.log.lastTerm()
 	}
-	return p.Index >= n.log.last()
+	return p.Index >= n.log.lastIndex()
 }
 
 // sticky tells whether a leader was heard so lately that its lease may live.
-func (n *Node) sticky(now time.Time) bool {
-	return n.role == Leader && n.IsLeader(now) || now.Sub(n.lastHeard) < n.cfg.ElectionMin
+func (n *Node) leaseMayBeLive(now time.Time) bool {
+	return n.role == Leader && n.IsLeader(now) || now.Sub(n.lastLeaderContact) < n.cfg.ElectionMin
 }
 
 func (n *Node) onPreVote(now time.Time, p Packet) {
 	fits := p.Term > n.hard.Term && n.upToDate(p)
-	ok := fits && !n.sticky(now)
+	ok := fits && !n.leaseMayBeLive(now)
 	term := p.Term
 	if !ok {
 		// A candidate with a lower term but a longer log has to learn the term,
@@ -128,12 +128,12 @@
 }
 
 func (n *Node) onVote(now time.Time, p Packet) {
-	if n.sticky(now) && !(p.Idle && n.idle) || p.Term < n.hard.Term {
+	if n.leaseMayBeLive(now) && !(p.Idle && n.idle) || p.Term < n.hard.Term {
 		n.send(Packet{Kind: Voted, To: p.From, Term: max(p.Term, n.hard.Term), OK: false})
 		return
 	}
 	if p.Term > n.hard.Term {
-		n.follow(now, p.Term, "")
+		n.becomeFollower(now, p.Term, "")
 	}
 	ok := (n.hard.Vote == "" || n.hard.Vote == p.From) && n.upToDate(p)
 	if ok {
@@ -145,17 +145,17 @@
 }
 
 func (n *Node) onVoted(now time.Time, p Packet) {
-	want := Candidate
+	wantRole := Candidate
 	term := n.hard.Term
 	if p.Kind == PreVoted {
-		want, term = PreCandidate, n.hard.Term+1
+		wantRole, term = PreCandidate, n.hard.Term+1
 	}
-	n.noteIdle(p)
+	n.recordIdle(p)
 	if n.role == PreCandidate && n.allIdle() {
 		n.countVotes(now)
 		return
 	}
-	if n.role != want || p.Term != term || !p.OK {
+	if n.role != wantRole || p.Term != term || !p.OK {
 		return
 	}
 	n.votes[p.From] = true
--- a/consensus/boot.go
+++ b/consensus/idle.go
@@ -20,18 +20,18 @@
 
 // bootElection bounds the time between two rounds of pre-votes of an idle
 // replica, as a share of the least election time.
-const bootElection = 10
+const idleElectionDivisor = 10
 
 // idleDue returns when an idle replica asks for pre-votes next.
-func (n *Node) idleDue(now time.Time) time.Time {
-	least := n.cfg.ElectionMin / bootElection
-	return now.Add(least/2 + time.Duration(n.rng.Int64N(int64(max(least, 1)))))
+func (n *Node) idleElectionDue(now time.Time) time.Time {
+	minWait := n.cfg.ElectionMin / idleElectionDivisor
+	return now.Add(minWait/2 + time.Duration(n.rng.Int64N(int64(max(minWait, 1)))))
 }
 
 // noteIdle takes what a voter says about itself in a round of pre-votes.
-func (n *Node) noteIdle(p Packet) {
+func (n *Node) recordIdle(p Packet) {
 	if p.Kind == PreVoted && n.role == PreCandidate && p.Seq == n.preRound && p.Idle {
-		n.idles[p.From] = p.Fits
+		n.idleVoters[p.From] = p.Fits
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	fits := 0
 	for _, v := range n.members.Voters {
-		fit, idle := n.idles[v]
+		fit, idle := n.idleVoters[v]
 		if n.lost[v] {
 			continue
 		}
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -17,13 +17,13 @@
 }
 
 // last returns the index of the last entry.
-func (l *log) last() uint64 { return l.snap.Index + uint64(len(l.entries)) }
+func (l *log) lastIndex() uint64 { return l.snap.Index + uint64(len(l.entries)) }
 
 // lastTerm returns the term of the last entry.
-func (l *log) lastTerm() uint64 { return l.term(l.last()) }
+func (l *log) lastTerm() uint64 { return l.term(l.lastIndex()) }
 
 // has tells whether the term of an index is known.
-func (l *log) has(index uint64) bool { return index >= l.snap.Index && index <= l.last() }
+func (l *log) hasTerm(index uint64) bool { return index >= l.snap.Index && index <= l.lastIndex() }
 
 // term returns the term of an index that has reports true for.
 func (l *log) term(index uint64) uint64 {
@@ -36,7 +36,7 @@
 func (l *log) append(e Entry) { l.entries = append(l.entries, e) }
 
 // cut drops the entries from an index on.
-func (l *log) cut(index uint64) {
+func (l *log) truncateFrom(index uint64) {
 	l.entries = l.entries[: index-l.snap.Index-1 : index-l.snap.Index-1]
 }
 
@@ -45,7 +45,7 @@
 	if index <= l.snap.Index {
 		index = l.snap.Index + 1
 	}
-	if index > l.last() {
+	if index > l.lastIndex() {
 		return nil
 	}
 	return append([]Entry(nil), l.entries[index-l.snap.Index-1:]...)
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -44,7 +44,7 @@
 	want := append(slices.Clone(n.members.Voters), n.members.Learners...)
 	for _, id := range want {
 		if id != n.cfg.ID && n.peers[id] == nil {
-			n.peers[id] = &progress{next: n.log.last() + 1, ackAt: now}
+			n.peers[id] = &progress{next: n.log.lastIndex() + 1, ackAt: now}
 		}
 	}
 	for id := range n.peers {
@@ -70,17 +70,17 @@
 	if n.membersIndex > n.commit {
 		return 0, ErrChangePending
 	}
-	m, ok := n.changed(c)
+	m, ok := n.applyChange(c)
 	if !ok {
 		return 0, ErrInvalidChange
 	}
 	index := n.append(Entry{Members: &m})
 	n.broadcast(now)
-	n.advance(now)
+	n.advanceCommit(now)
 	return index, nil
 }
 
-func (n *Node) changed(c Change) (Members, bool) {
+func (n *Node) applyChange(c Change) (Members, bool) {
 	m := Members{Voters: slices.Clone(n.members.Voters), Learners: slices.Clone(n.members.Learners)}
 	isVoter, isLearner := slices.Contains(m.Voters, c.Add+c.Promote+c.Remove), slices.Contains(m.Learners, c.Add+c.Promote+c.Remove)
 	switch {
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -93,27 +93,27 @@
 	commit       uint64
 	applied      uint64
 
-	role      Role
-	leader    string
-	votes     map[string]bool
-	peers     map[string]*progress
-	lastHeard time.Time
+	role              Role
+	leader            string
+	votes             map[string]bool
+	peers             map[string]*progress
+	lastLeaderContact time.Time
 	// idle tells that no leader was heard since the start; idles are the voters
 	// that say the same in the round of pre-votes preRound, and whether they
 	// would grant their vote.
-	idle  bool
-	idles map[string]bool
+	idle       bool
+	idleVoters map[string]bool
 	// lost are replicas that have lost their disks for good.
 	lost     map[string]bool
 	preRound uint64
 	// forced tells that this candidacy rests on all voters being idle.
-	forced      bool
-	electionDue time.Time
-	beatDue     time.Time
-	seq         uint64
-	sentAt      map[uint64]time.Time
-	firstOwn    uint64 // index of the entry that opened the leader's term
-	failed      bool
+	idleElection     bool
+	electionDue      time.Time
+	heartbeatDue     time.Time
+	seq              uint64
+	sentAt           map[uint64]time.Time
+	firstIndexOfTerm uint64 // index of the entry that opened the leader's term
+	failed           bool
 	// freshAt is the latest moment of which a leader under its lease has told
 	// the commit index; stamps are the marks that it may give back.
 	freshAt time.Time
@@ -137,7 +137,7 @@
 	}
 	n.findMembers(n.members)
 	// It may have granted a lease to a leader just before it went down.
-	n.lastHeard = now
+	n.lastLeaderContact = now
 	n.idle = true
 	n.resetElection(now)
 	if len(n.members.Voters) == 1 && n.voter(cfg.ID) {
@@ -202,10 +202,10 @@
 
 func (n *Node) leaderTick(now time.Time) {
 	if now.Sub(n.quorumAck(now)) > n.cfg.ElectionMax {
-		n.follow(now, n.hard.Term, "")
+		n.becomeFollower(now, n.hard.Term, "")
 		return
 	}
-	if !now.Before(n.beatDue) {
+	if !now.Before(n.heartbeatDue) {
 		n.broadcast(now)
 	}
 }
@@ -213,11 +213,11 @@
 // Lead tells whether this replica is the leader under a live lease, and has
 // committed an entry of its own term: only then is what it knows current.
 func (n *Node) IsLeader(now time.Time) bool {
-	if n.role != Leader || n.failed || n.commit < n.firstOwn {
+	if n.role != Leader || n.failed || n.commit < n.firstIndexOfTerm {
 		return false
 	}
-	length := time.Duration(float64(n.cfg.ElectionMin) * (1 - n.cfg.MaxClockDrift))
-	return now.Before(n.quorumAck(now).Add(length))
+	leaseDuration := time.Duration(float64(n.cfg.ElectionMin) * (1 - n.cfg.MaxClockDrift))
+	return now.Before(n.quorumAck(now).Add(leaseDuration))
 }
 
 // Fresh tells whether what is committed here is current to within the election
@@ -238,11 +238,11 @@
 		}
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
-	need := majority(len(n.members.Voters))
-	if len(times) < need {
+	quorum := majority(len(n.members.Voters))
+	if len(times) < quorum {
 		return time.Time{}
 	}
-	return times[need-1]
+	return times[quorum-1]
 }
 
 func majority(n int) int { return n/2 + 1 }
@@ -254,13 +254,13 @@
 	}
 	e := n.append(Entry{Data: data})
 	n.broadcast(now)
-	n.advance(now)
+	n.advanceCommit(now)
 	return e, nil
 }
 
 // append adds an entry of the present term to the leader's log.
 func (n *Node) append(e Entry) uint64 {
-	e.Index, e.Term = n.log.last()+1, n.hard.Term
+	e.Index, e.Term = n.log.lastIndex()+1, n.hard.Term
 	n.log.append(e)
 	n.markUnsynced(e.Index)
 	if e.Members != nil {
@@ -316,7 +316,7 @@
 func (n *Node) Status(now time.Time) Status {
 	return Status{
 		ID: n.cfg.ID, Role: n.role.String(), Term: n.hard.Term, Leader: n.leader, Commit: n.commit, Applied: n.applied,
-		Last: n.log.last(), First: n.log.snap.Index + 1, Members: n.members, Pending: n.membersIndex > n.commit,
+		Last: n.log.lastIndex(), First: n.log.snap.Index + 1, Members: n.members, Pending: n.membersIndex > n.commit,
 		Lease: n.IsLeader(now), Failed: n.failed, Lost: slices.Sorted(maps.Keys(n.lost)),
 	}
 }
@@ -339,7 +339,7 @@
 
 // Caught tells whether a replica has all but a few entries of the leader's log.
 func (n *Node) CaughtUp(id string) bool {
-	const near = 16
+	const maxLag = 16
 	p := n.peers[id]
-	return n.role == Leader && p != nil && !p.installing && p.match+near >= n.commit && p.match > 0
+	return n.role == Leader && p != nil && !p.installing && p.match+maxLag >= n.commit && p.match > 0
 }
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -7,12 +7,12 @@
 
 // Bounds of one Append.
 const (
-	maxEntries = 256
-	maxBytes   = 1 << 20
+	maxAppendEntries = 256
+	maxAppendBytes   = 1 << 20
 	// installEvery is the time between two tries to send a snapshot.
-	installEvery = time.Second
+	installRetryInterval = time.Second
 	// maxSent bounds the rounds whose times are kept.
-	maxSent = 256
+	maxRounds = 256
 )
 
 // Step takes a packet from another replica.
@@ -27,53 +27,53 @@
 		n.onVote(now, p)
 	case PreVoted, Voted:
 		if !p.OK && p.Term > n.hard.Term {
-			n.follow(now, p.Term, "")
+			n.becomeFollower(now, p.Term, "")
 			return
 		}
 		n.onVoted(now, p)
 	case Append, Install:
-		n.fromLeader(now, p)
+		n.onLeaderPacket(now, p)
 	case Appended, Installed:
 		n.onAck(now, p)
 	}
 }
 
 // fromLeader takes what only a leader sends.
-func (n *Node) fromLeader(now time.Time, p Packet) {
+func (n *Node) onLeaderPacket(now time.Time, p Packet) {
 	if p.Term < n.hard.Term {
 		n.send(Packet{Kind: Appended, To: p.From, Term: n.hard.Term})
 		return
 	}
 	n.idle = false
-	n.follow(now, p.Term, p.From)
-	n.lastHeard = now
+	n.becomeFollower(now, p.Term, p.From)
+	n.lastLeaderContact = now
 	if p.Kind == Install && p.Snapshot != nil {
 		n.onInstall(p)
 		return
 	}
-	n.onAppend(p, n.mark(now))
+	n.onAppend(p, n.newStamp(now))
 	if at, ok := n.stamps[p.Stamp]; ok && p.OK && n.commit >= p.Commit && at.After(n.freshAt) {
 		n.freshAt = at
 	}
 }
 
 // mark makes a mark for the leader to give back.
-func (n *Node) mark(now time.Time) uint64 {
+func (n *Node) newStamp(now time.Time) uint64 {
 	n.stamp++
 	n.stamps[n.stamp] = now
-	delete(n.stamps, n.stamp-maxSent)
+	delete(n.stamps, n.stamp-maxRounds)
 	return n.stamp
 }
 
-func (n *Node) onAppend(p Packet, mark uint64) {
-	reply := Packet{Kind: Appended, To: p.From, Term: n.hard.Term, Seq: p.Seq, Stamp: mark}
-	if p.Index > n.log.last() || p.Index >= n.log.snap.Index && n.log.term(p.Index) != p.LogTerm {
-		reply.Hint = min(n.log.last(), p.Index-1)
+func (n *Node) onAppend(p Packet, stamp uint64) {
+	reply := Packet{Kind: Appended, To: p.From, Term: n.hard.Term, Seq: p.Seq, Stamp: stamp}
+	if p.Index > n.log.lastIndex() || p.Index >= n.log.snap.Index && n.log.term(p.Index) != p.LogTerm {
+		reply.Hint = min(n.log.lastIndex(), p.Index-1)
 		n.send(reply)
 		return
 	}
 	for _, e := range p.Entries {
-		n.take(e)
+		n.storeEntry(e)
 	}
 	last := p.Index + uint64(len(p.Entries))
 	reply.OK, reply.Index = true, max(last, n.log.snap.Index)
@@ -85,15 +85,15 @@
 
 // take puts a leader's entry into the log; an own entry of another term gives
 // way with all after it.
-func (n *Node) take(e Entry) {
+func (n *Node) storeEntry(e Entry) {
 	if e.Index <= n.log.snap.Index {
 		return
 	}
-	if n.log.has(e.Index) {
+	if n.log.hasTerm(e.Index) {
 		if n.log.term(e.Index) == e.Term {
 			return
 		}
-		n.log.cut(e.Index)
+		n.log.truncateFrom(e.Index)
 		if n.membersIndex >= e.Index {
 			n.findMembers(n.log.snap.Members)
 		}
@@ -112,7 +112,7 @@
 	reply := Packet{Kind: Installed, To: p.From, Term: n.hard.Term, Seq: p.Seq, OK: true}
 	switch {
 	case s.Index <= n.commit:
-	case n.log.has(s.Index) && n.log.term(s.Index) == s.Term:
+	case n.log.hasTerm(s.Index) && n.log.term(s.Index) == s.Term:
 		n.commit = s.Index
 	default:
 		n.log.reset(s)
@@ -127,10 +127,10 @@
 
 // broadcast sends a round of Appends to all replicas.
 func (n *Node) broadcast(now time.Time) {
-	n.beatDue = now.Add(n.cfg.HeartbeatInterval)
+	n.heartbeatDue = now.Add(n.cfg.HeartbeatInterval)
 	n.seq++
 	n.sentAt[n.seq] = now
-	delete(n.sentAt, n.seq-maxSent)
+	delete(n.sentAt, n.seq-maxRounds)
 	for _, id := range sortedPeers(n.peers) {
 		n.sendAppend(now, id)
 	}
@@ -152,7 +152,7 @@
 		n.sendInstall(now, id, p)
 		return
 	}
-	entries := bounded(n.log.between(p.next, min(n.log.last(), prev+maxEntries)))
+	entries := limitSize(n.log.between(p.next, min(n.log.lastIndex(), prev+maxAppendEntries)))
 	n.send(Packet{
 		Kind: Append, To: id, Term: n.hard.Term, Index: prev, LogTerm: n.log.term(prev),
 		Entries: entries, Commit: n.commit, Seq: n.seq, OK: n.IsLeader(now), Stamp: p.stamp,
@@ -161,11 +161,11 @@
 }
 
 // bounded cuts a run of entries at the size of one Append.
-func bounded(entries []Entry) []Entry {
+func limitSize(entries []Entry) []Entry {
 	size := 0
 	for i, e := range entries {
 		size += len(e.Data)
-		if size > maxBytes && i > 0 {
+		if size > maxAppendBytes && i > 0 {
 			return entries[:i]
 		}
 	}
@@ -174,7 +174,7 @@
 
 // sendInstall sends the snapshot, or only a heartbeat while one is under way.
 func (n *Node) sendInstall(now time.Time, id string, p *progress) {
-	if p.installing && now.Sub(p.installAt) < installEvery {
+	if p.installing && now.Sub(p.installAt) < installRetryInterval {
 		last := n.log.snap.Index
 		n.send(Packet{Kind: Append, To: id, Term: n.hard.Term, Index: last, LogTerm: n.log.snap.Term, Seq: n.seq})
 		return
@@ -187,7 +187,7 @@
 // onAck takes the answer to an Append or an Install.
 func (n *Node) onAck(now time.Time, a Packet) {
 	if a.Term > n.hard.Term {
-		n.follow(now, a.Term, "")
+		n.becomeFollower(now, a.Term, "")
 		return
 	}
 	p := n.peers[a.From]
@@ -210,22 +210,22 @@
 	}
 	p.match = max(p.match, a.Index)
 	p.next = max(p.next, p.match+1)
-	n.advance(now)
-	if n.role == Leader && p.next <= n.log.last() {
+	n.advanceCommit(now)
+	if n.role == Leader && p.next <= n.log.lastIndex() {
 		n.sendAppend(now, a.From)
 	}
 }
 
 // advance commits what a majority of the voters has. Entries of older terms
 // are only committed together with one of the present term.
-func (n *Node) advance(now time.Time) {
+func (n *Node) advanceCommit(now time.Time) {
 	if n.role != Leader {
 		return
 	}
 	matches := make([]uint64, 0, len(n.members.Voters))
 	for _, v := range n.members.Voters {
 		if v == n.cfg.ID {
-			matches = append(matches, n.log.last())
+			matches = append(matches, n.log.lastIndex())
 		} else if p := n.peers[v]; p != nil {
 			matches = append(matches, p.match)
 		}
@@ -238,6 +238,6 @@
 	n.commit = matches[i]
 	if n.membersIndex <= n.commit && !n.voter(n.cfg.ID) {
 		n.broadcast(now) // tell the others before leaving
-		n.follow(now, n.hard.Term, "")
+		n.becomeFollower(now, n.hard.Term, "")
 	}
 }
