--- a/wal/fence.go
+++ b/wal/fence.go
@@ -17,23 +17,23 @@
 // before the first record that needs the version is appended, since a build that does not read
 // that record would pass it over.
 func (j *Journal) Fence(version int) error {
-	if j.broken != nil || version <= j.Version() {
-		return j.broken
+	if j.failure != nil || version <= j.Version() {
+		return j.failure
 	}
-	if err := j.fence(version); err != nil {
-		j.broken = fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.snapshotPath())
+	if err := j.writeFence(version); err != nil {
+		j.failure = fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.snapshotPath())
 	}
-	return j.broken
+	return j.failure
 }
 
-func (j *Journal) fence(version int) error {
+func (j *Journal) writeFence(version int) error {
 	var snap consensus.Snapshot
 	if _, err := os.Stat(j.snapshotPath()); err == nil {
 		if snap, err = j.readSnapshot(func([]byte) error { return nil }); err != nil {
 			return err
 		}
 	}
-	data, err := writeRecord(record{Snapshot: &snap, Version: version})
+	data, err := encodeRecord(record{Snapshot: &snap, Version: version})
 	if err != nil {
 		return err
 	}
--- a/wal/newer.go
+++ b/wal/newer_build.go
@@ -30,16 +30,16 @@
 func (n *NewerBuildError) Unwrap() error { return n.Err }
 
 // newer returns the error for the content of a record that can't be read.
-func newer(body []byte, why error) error {
+func newerBuildError(body []byte, err error) error {
 	var r struct {
 		Version int `cbor:"4,keyasint"`
 	}
 	_ = cbor.Unmarshal(body, &r) // what can't be read at all tells no version
-	return &NewerBuildError{Version: r.Version, Err: why}
+	return &NewerBuildError{Version: r.Version, Err: err}
 }
 
 // asNewer tells whether an error is that of a newer build's record.
-func asNewer(err error) bool {
+func isNewerBuild(err error) bool {
 	var n *NewerBuildError
 	return errors.As(err, &n)
 }
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -38,7 +38,7 @@
 	version int
 	// broken is set by the first failed write or sync: what the disk holds is
 	// not known any more, so nothing is written again.
-	broken error
+	failure error
 }
 
 // Opened tells what Open found.
@@ -76,12 +76,12 @@
 	} else if err != nil {
 		return nil, OpenResult{}, fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
 	}
-	good, err := Replay(data, &out.Restored)
+	intact, err := Replay(data, &out.Restored)
 	if err != nil {
-		return nil, OpenResult{}, j.unread(err, j.logPath())
+		return nil, OpenResult{}, j.readError(err, j.logPath())
 	}
-	out.TruncatedBytes = int64(len(data) - good)
-	if err := j.start(int64(good), out.TruncatedBytes > 0); err != nil {
+	out.TruncatedBytes = int64(len(data) - intact)
+	if err := j.openLog(int64(intact), out.TruncatedBytes > 0); err != nil {
 		return nil, OpenResult{}, err
 	}
 	return j, out, nil
@@ -91,7 +91,7 @@
 func (j *Journal) snapshotPath() string { return filepath.Join(j.dir, "control.snapshot") }
 
 // start opens the log for appending and cuts a torn tail.
-func (j *Journal) start(size int64, cut bool) error {
+func (j *Journal) openLog(size int64, cut bool) error {
 	file, err := j.open(j.logPath())
 	if err != nil {
 		return fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
@@ -111,8 +111,8 @@
 }
 
 // unread returns the error for a file that can't be read.
-func (j *Journal) unread(err error, path string) error {
-	if asNewer(err) {
+func (j *Journal) readError(err error, path string) error {
+	if isNewerBuild(err) {
 		return fault.Wrap(err, fault.JournalNewer, fault.StepJournal, path)
 	}
 	return fault.Wrap(err, fault.JournalBroken, fault.StepJournal, path)
@@ -129,13 +129,13 @@
 	}
 	rec, n, err := readRecord(data)
 	switch {
-	case asNewer(err):
-		return consensus.Snapshot{}, j.unread(err, j.snapshotPath())
+	case isNewerBuild(err):
+		return consensus.Snapshot{}, j.readError(err, j.snapshotPath())
 	case err != nil || n != len(data) || rec.Snapshot == nil:
-		return consensus.Snapshot{}, j.unread(errors.New("the snapshot is damaged"), j.snapshotPath())
+		return consensus.Snapshot{}, j.readError(errors.New("the snapshot is damaged"), j.snapshotPath())
 	}
 	if err := readable(rec.Snapshot.Data); err != nil {
-		return consensus.Snapshot{}, j.unread(&NewerBuildError{Version: rec.Version, Err: err}, j.snapshotPath())
+		return consensus.Snapshot{}, j.readError(&NewerBuildError{Version: rec.Version, Err: err}, j.snapshotPath())
 	}
 	j.version = rec.Version
 	return *rec.Snapshot, nil
@@ -144,10 +144,10 @@
 // Append makes the hard state and entries durable. After a failure the journal
 // refuses everything.
 func (j *Journal) Append(hard *consensus.Hard, entries []consensus.Entry) error {
-	if j.broken != nil {
-		return j.broken
+	if j.failure != nil {
+		return j.failure
 	}
-	data, err := writeRecord(record{Hard: hard, Entries: entries})
+	data, err := encodeRecord(record{Hard: hard, Entries: entries})
 	if err == nil {
 		_, err = j.file.Write(data)
 	}
@@ -155,8 +155,8 @@
 		err = j.file.Sync()
 	}
 	if err != nil {
-		j.broken = fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
-		return j.broken
+		j.failure = fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
+		return j.failure
 	}
 	j.size += int64(len(data))
 	return nil
@@ -165,21 +165,21 @@
 // Snapshot makes a snapshot durable and drops the log that it covers; hard and
 // entries are what is kept after it.
 func (j *Journal) SaveSnapshot(s consensus.Snapshot, hard consensus.Hard, entries []consensus.Entry) error {
-	if j.broken != nil {
-		return j.broken
+	if j.failure != nil {
+		return j.failure
 	}
-	if err := j.replace(s, hard, entries); err != nil {
-		j.broken = fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.dir)
+	if err := j.replaceFiles(s, hard, entries); err != nil {
+		j.failure = fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.dir)
 	}
-	return j.broken
+	return j.failure
 }
 
-func (j *Journal) replace(s consensus.Snapshot, hard consensus.Hard, entries []consensus.Entry) error {
-	snap, err := writeRecord(record{Snapshot: &s, Version: j.version})
+func (j *Journal) replaceFiles(s consensus.Snapshot, hard consensus.Hard, entries []consensus.Entry) error {
+	snap, err := encodeRecord(record{Snapshot: &s, Version: j.version})
 	if err != nil {
 		return err
 	}
-	rest, err := writeRecord(record{Hard: &hard, Entries: entries})
+	logData, err := encodeRecord(record{Hard: &hard, Entries: entries})
 	if err != nil {
 		return err
 	}
@@ -191,10 +191,10 @@
 	if err := j.file.Close(); err != nil {
 		return err
 	}
-	if err := spread.WriteSynced(j.logPath(), rest); err != nil {
+	if err := spread.WriteSynced(j.logPath(), logData); err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	return j.start(int64(len(rest)), false)
+	return j.openLog(int64(len(logData)), false)
 }
 
 // Size returns the length of the log in bytes.
