--- a/clock/clock.go
+++ b/clock/clock.go
@@ -17,7 +17,7 @@
 type Source struct {
 	// Read returns the steady time since some moment, and the time of day in Unix
 	// nanoseconds.
-	Read func() (steady time.Duration, day int64)
+	Read func() (monotonic time.Duration, wall int64)
 	// Boot returns the steady time that counts suspension, since some moment.
 	BootTime func() (time.Duration, error)
 }
@@ -27,45 +27,45 @@
 	source Source
 	// epoch is the time of day at the start, without a reading of the steady clock, so
 	// that differences between times of this clock are its own.
-	epoch  time.Time
-	steady time.Duration
-	boot   time.Duration
-	day    int64
+	epoch          time.Time
+	startMonotonic time.Duration
+	startBootTime  time.Duration
+	startWall      int64
 	// shift is how far the time of day had moved against the steady clock at the newest
 	// look, away the time of which the steady clock did not know.
-	shift, away atomic.Int64
+	shift, suspended atomic.Int64
 }
 
 // noticed is the least move of the time of day against the steady clock that is looked
 // into: the adjustment of a clock moves it by half a millisecond in a second at most.
-const noticed = 5 * time.Millisecond
+const minShift = 5 * time.Millisecond
 
 // New returns a clock.
 func New(s Source) *Clock {
 	c := &Clock{source: s}
-	c.steady, c.day = s.Read()
-	c.boot, _ = s.BootTime()
-	c.epoch = time.Unix(0, c.day)
+	c.startMonotonic, c.startWall = s.Read()
+	c.startBootTime, _ = s.BootTime()
+	c.epoch = time.Unix(0, c.startWall)
 	return c
 }
 
 // VM is the clock of this VM.
-var VM = New(Source{Read: read, BootTime: boot})
+var VM = New(Source{Read: readClocks, BootTime: readBootTime})
 
 var processStart = time.Now()
 
-func read() (time.Duration, int64) {
+func readClocks() (time.Duration, int64) {
 	now := time.Now()
 	return now.Sub(processStart), now.UnixNano()
 }
 
-func boot() (time.Duration, error) {
+func readBootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	return time.Duration(ts.Nano()), err
 }
 
-func (c *Clock) real() *Clock {
+func (c *Clock) orVM() *Clock {
 	if c == nil {
 		return VM
 	}
@@ -77,24 +77,24 @@
 // call, is read only when the time of day has moved against the steady one, as it does when
 // a VM wakes up.
 func (c *Clock) Now() time.Time {
-	c = c.real()
-	steady, day := c.source.Read()
-	steady -= c.steady
-	shift := day - c.day - int64(steady)
-	if move := shift - c.shift.Load(); move > int64(noticed) || move < -int64(noticed) {
-		c.look(shift)
-		steady, _ = c.source.Read()
-		steady -= c.steady
+	c = c.orVM()
+	monotonic, wall := c.source.Read()
+	monotonic -= c.startMonotonic
+	shift := wall - c.startWall - int64(monotonic)
+	if move := shift - c.shift.Load(); move > int64(minShift) || move < -int64(minShift) {
+		c.measureSuspension(shift)
+		monotonic, _ = c.source.Read()
+		monotonic -= c.startMonotonic
 	}
-	return c.epoch.Add(steady + time.Duration(c.away.Load()))
+	return c.epoch.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
 // look finds out how much of the time the VM was suspended. A kernel that does not tell
 // leaves it as it was: the time of day may have jumped for other reasons.
-func (c *Clock) look(shift int64) {
+func (c *Clock) measureSuspension(shift int64) {
 	if boot, err := c.source.BootTime(); err == nil {
-		steady, _ := c.source.Read()
-		c.away.Store(max(int64(boot-c.boot)-int64(steady-c.steady), c.away.Load()))
+		monotonic, _ := c.source.Read()
+		c.suspended.Store(max(int64(boot-c.startBootTime)-int64(monotonic-c.startMonotonic), c.suspended.Load()))
 	}
 	c.shift.Store(shift)
 }
