--- a/settings/check.go
+++ b/settings/check.go
@@ -24,47 +24,47 @@
 	if err := strict.Decode(file, data, t); err != nil {
 		return nil, err
 	}
-	c := checker{file: file, tree: t, votes: map[string]string{}}
+	c := checker{file: file, tree: t, groupOf: map[string]string{}}
 	c.run()
-	return t, c.found.Err()
+	return t, c.problems.Err()
 }
 
 // checker looks for names that point nowhere and addresses that are not IP
 // numbers. These checks span levels, so they have no single line.
 type checker struct {
-	file  string
-	tree  *Tree
-	found strict.Problems
+	file     string
+	tree     *Tree
+	problems strict.Problems
 	// votes maps each server of a claim group to its service.
-	votes map[string]string
+	groupOf map[string]string
 }
 
 func (c *checker) report(path, format string, args ...any) {
-	c.found = append(c.found, strict.Problem{File: c.file, Path: path, Want: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, strict.Problem{File: c.file, Path: path, Want: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) run() {
 	for _, name := range sorted(c.tree.Fleet.Classes) {
-		c.class(name)
+		c.checkClass(name)
 	}
 	for _, name := range sorted(c.tree.Fleet.Customers) {
-		c.customer(name)
+		c.checkCustomer(name)
 	}
 	for _, name := range sorted(c.tree.Fleet.Services) {
-		c.service(name)
+		c.checkService(name)
 	}
 	servers := map[string]string{}
 	for _, site := range sorted(c.tree.Fleet.Sites) {
 		for _, pool := range sorted(c.tree.Fleet.Sites[site].Pools) {
-			c.pool(site, pool, servers)
+			c.checkPool(site, pool, servers)
 		}
 	}
 	for _, name := range sorted(c.tree.Fleet.Control) {
-		c.address("fleet.control."+name+".address", c.tree.Fleet.Control[name].Address)
+		c.checkAddress("fleet.control."+name+".address", c.tree.Fleet.Control[name].Address)
 	}
 }
 
-func (c *checker) class(name string) {
+func (c *checker) checkClass(name string) {
 	class := c.tree.Fleet.Classes[name]
 	if !class.Once {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-func (c *checker) customer(name string) {
+func (c *checker) checkCustomer(name string) {
 	cust := c.tree.Fleet.Customers[name]
 	path := "fleet.customers." + name
 	if _, ok := c.tree.Fleet.Sites[cust.Home]; cust.Home != "" && !ok {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (c *checker) service(name string) {
+func (c *checker) checkService(name string) {
 	svc := c.tree.Fleet.Services[name]
 	path := "fleet.services." + name
 	if len(svc.Once) > 0 && len(svc.ClaimGroup) == 0 {
@@ -106,15 +106,15 @@
 			if _, ok := c.tree.Server(server); !ok {
 				c.report(at, "want names of servers in the tree, not %q", server)
 			}
-			if other, ok := c.votes[server]; ok {
+			if other, ok := c.groupOf[server]; ok {
 				c.report(at, "want servers that vote in one group only, and %s votes in %s", server, other)
 			}
-			c.votes[server] = name
+			c.groupOf[server] = name
 		}
 	}
 }
 
-func (c *checker) pool(site, name string, servers map[string]string) {
+func (c *checker) checkPool(site, name string, servers map[string]string) {
 	pool := c.tree.Fleet.Sites[site].Pools[name]
 	path := "fleet.sites." + site + ".pools." + name
 	if _, ok := c.tree.Fleet.Services[pool.Service]; pool.Role == RoleService && !ok {
@@ -131,11 +131,11 @@
 			c.report(at, "the server stands already at %s", before)
 		}
 		servers[server] = at
-		c.address(at+".agent", pool.Servers[server].Agent)
+		c.checkAddress(at+".agent", pool.Servers[server].Agent)
 	}
 }
 
-func (c *checker) address(path, addr string) {
+func (c *checker) checkAddress(path, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		c.report(path, "want an IP number and a port, not %q", addr)
 	}
--- a/settings/delta.go
+++ b/settings/delta.go
@@ -27,13 +27,13 @@
 
 // MakeDelta returns the delta from one text to another.
 func NewDelta(from, to []byte) Delta {
-	short := min(len(from), len(to))
+	minLen := min(len(from), len(to))
 	head := 0
-	for head < short && from[head] == to[head] {
+	for head < minLen && from[head] == to[head] {
 		head++
 	}
 	tail := 0
-	for tail < short-head && from[len(from)-1-tail] == to[len(to)-1-tail] {
+	for tail < minLen-head && from[len(from)-1-tail] == to[len(to)-1-tail] {
 		tail++
 	}
 	return Delta{Base: sha256.Sum256(from), Head: head, Tail: tail, Middle: to[head : len(to)-tail]}
--- a/settings/effective.go
+++ b/settings/effective.go
@@ -88,20 +88,20 @@
 }
 
 func (e *Effective) apply(l Limits) {
-	set(&e.MaxPromptTokens, l.MaxPromptTokens)
-	set(&e.MaxOutputTokens, l.MaxOutputTokens)
-	set(&e.QueueLimit, l.QueueLimit)
-	set(&e.OpenLimit, l.OpenLimit)
-	set(&e.RetryPercent, l.RetryPercent)
-	set(&e.LeaseTime, (*time.Duration)(l.LeaseTime))
-	set(&e.KVHold, (*time.Duration)(l.KVHold))
-	set(&e.StallAfter, (*time.Duration)(l.StallAfter))
-	set(&e.LinkRate, (*int64)(l.LinkRate))
-	set(&e.Slots, l.Slots)
-	set(&e.WeightRate, (*int64)(l.WeightRate))
+	setIfPresent(&e.MaxPromptTokens, l.MaxPromptTokens)
+	setIfPresent(&e.MaxOutputTokens, l.MaxOutputTokens)
+	setIfPresent(&e.QueueLimit, l.QueueLimit)
+	setIfPresent(&e.OpenLimit, l.OpenLimit)
+	setIfPresent(&e.RetryPercent, l.RetryPercent)
+	setIfPresent(&e.LeaseTime, (*time.Duration)(l.LeaseTime))
+	setIfPresent(&e.KVHold, (*time.Duration)(l.KVHold))
+	setIfPresent(&e.StallAfter, (*time.Duration)(l.StallAfter))
+	setIfPresent(&e.LinkRate, (*int64)(l.LinkRate))
+	setIfPresent(&e.Slots, l.Slots)
+	setIfPresent(&e.WeightRate, (*int64)(l.WeightRate))
 }
 
-func set[T any](dst *T, src *T) {
+func setIfPresent[T any](dst *T, src *T) {
 	if src != nil {
 		*dst = *src
 	}
--- a/settings/lookup.go
+++ b/settings/lookup.go
@@ -25,14 +25,14 @@
 		s := t.Fleet.Sites[site]
 		for _, pool := range sorted(s.Pools) {
 			for _, name := range sorted(s.Pools[pool].Servers) {
-				out = append(out, t.placed(site, pool, name))
+				out = append(out, t.placedServer(site, pool, name))
 			}
 		}
 	}
 	return out
 }
 
-func (t *Tree) placed(site, pool, name string) PlacedServer {
+func (t *Tree) placedServer(site, pool, name string) PlacedServer {
 	s := t.Fleet.Sites[site]
 	p := s.Pools[pool]
 	e := t.EffectiveAt(site, pool, "")
@@ -49,7 +49,7 @@
 	for site, s := range t.Fleet.Sites {
 		for pool, p := range s.Pools {
 			if _, ok := p.Servers[name]; ok {
-				return t.placed(site, pool, name), true
+				return t.placedServer(site, pool, name), true
 			}
 		}
 	}
--- a/settings/set.go
+++ b/settings/set.go
@@ -20,7 +20,7 @@
 	if len(doc.Content) == 0 || len(val.Content) == 0 {
 		return nil, fmt.Errorf("settings: there is no tree, or no value")
 	}
-	if err := put(doc.Content[0], path, val.Content[0]); err != nil {
+	if err := setNode(doc.Content[0], path, val.Content[0]); err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
@@ -33,7 +33,7 @@
 }
 
 // put walks down a path, making mappings where they lack.
-func put(n *yaml.Node, path []string, val *yaml.Node) error {
+func setNode(n *yaml.Node, path []string, val *yaml.Node) error {
 	if n.Kind != yaml.MappingNode {
 		return fmt.Errorf("settings: %s is not a mapping", path[0])
 	}
@@ -45,7 +45,7 @@
 			n.Content[i+1] = val
 			return nil
 		}
-		return put(n.Content[i+1], path[1:], val)
+		return setNode(n.Content[i+1], path[1:], val)
 	}
 	key := &yaml.Node{Kind: yaml.ScalarNode, Value: path[0]}
 	if len(path) == 1 {
@@ -54,5 +54,5 @@
 	}
 	child := &yaml.Node{Kind: yaml.MappingNode}
 	n.Content = append(n.Content, key, child)
-	return put(child, path[1:], val)
+	return setNode(child, path[1:], val)
 }
