--- a/config/check.go
+++ b/config/check.go
@@ -10,17 +10,17 @@
 
 // checker gathers what is wrong with a file.
 type checker struct {
-	path  string
-	file  *File
-	found strict.Problems
+	path     string
+	file     *File
+	problems strict.Problems
 }
 
 func (c *checker) report(path, format string, args ...any) {
-	c.found = append(c.found, strict.Problem{File: c.path, Line: 1, Path: path, Want: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, strict.Problem{File: c.path, Line: 1, Path: path, Want: fmt.Sprintf(format, args...)})
 }
 
 // roles wants the part of each role, and no other.
-func (c *checker) roles() {
+func (c *checker) checkRoles() {
 	has := map[string]bool{RoleEntry: c.file.Entry != nil, RoleAgent: c.file.Agent != nil, RoleControl: c.file.Control != nil, RoleGateway: c.file.Gateway != nil}
 	named := map[string]bool{}
 	for _, r := range c.file.Roles {
@@ -48,76 +48,76 @@
 	}
 }
 
-func (c *checker) addresses() {
-	c.address("operators", c.file.Operators)
+func (c *checker) checkAddresses() {
+	c.checkAddress("operators", c.file.Operators)
 	if c.file.Metrics != "" {
-		c.address("metrics", c.file.Metrics)
+		c.checkAddress("metrics", c.file.Metrics)
 	}
 	if e := c.file.Entry; e != nil {
-		c.address("entry.callers", e.Callers)
+		c.checkAddress("entry.callers", e.Callers)
 		if e.Links != "" {
-			c.address("entry.links", e.Links)
+			c.checkAddress("entry.links", e.Links)
 		}
 		for i, a := range append(append([]string{}, e.Upstream...), e.Peers...) {
-			c.address(fmt.Sprintf("entry.upstream or peers, number %d", i+1), a)
+			c.checkAddress(fmt.Sprintf("entry.upstream or peers, number %d", i+1), a)
 		}
 		if e.Platform != "" {
-			c.address("entry.platform", e.Platform)
+			c.checkAddress("entry.platform", e.Platform)
 		}
 	}
 	if a := c.file.Agent; a != nil {
-		c.address("agent.links", a.Links)
+		c.checkAddress("agent.links", a.Links)
 		if a.Engine+a.Service != "" {
-			c.address("agent.engine or service", a.Engine+a.Service)
+			c.checkAddress("agent.engine or service", a.Engine+a.Service)
 		}
 	}
 	if k := c.file.Control; k != nil {
-		c.address("control.links", k.Links)
+		c.checkAddress("control.links", k.Links)
 		for name, a := range k.Members {
-			c.address("control.members."+name, a)
+			c.checkAddress("control.members."+name, a)
 		}
 		if k.API != "" {
-			c.address("control.api", k.API)
+			c.checkAddress("control.api", k.API)
 		}
 		if k.Discovery != nil {
-			c.seeds("control.discovery.seeds", k.Discovery.Seeds)
+			c.checkSeeds("control.discovery.seeds", k.Discovery.Seeds)
 		}
 	}
 	if g := c.file.Gateway; g != nil {
-		c.address("gateway.callers", g.Callers)
-		c.address("gateway.ready", g.Ready)
-		c.seeds("gateway.seeds", g.Seeds)
+		c.checkAddress("gateway.callers", g.Callers)
+		c.checkAddress("gateway.ready", g.Ready)
+		c.checkSeeds("gateway.seeds", g.Seeds)
 	}
 }
 
-func (c *checker) seeds(path string, list []string) {
+func (c *checker) checkSeeds(path string, list []string) {
 	for i, a := range list {
-		c.address(fmt.Sprintf("%s, number %d", path, i+1), a)
+		c.checkAddress(fmt.Sprintf("%s, number %d", path, i+1), a)
 	}
 }
 
-func (c *checker) address(path, addr string) {
+func (c *checker) checkAddress(path, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		c.report(path, "want an IP number and a port, not %q", addr)
 	}
 }
 
 // tokens wants a token where a listener can be reached from other VMs.
-func (c *checker) tokens() {
-	if c.file.Tokens.Operators == "" && !loopback(c.file.Operators) {
+func (c *checker) checkTokens() {
+	if c.file.Tokens.Operators == "" && !isLoopback(c.file.Operators) {
 		c.report("operators", "want a loopback address, or a token file in tokens.operators")
 	}
 	if c.file.Tokens.Peers != "" || c.file.Tokens.TrustedNetwork {
 		return
 	}
-	for _, addr := range c.links() {
-		if addr != "" && !loopback(addr) {
+	for _, addr := range c.linkAddresses() {
+		if addr != "" && !isLoopback(addr) {
 			c.report("tokens.peers", "want a token file, because links listen on %s", addr)
 		}
 	}
 }
 
-func (c *checker) links() []string {
+func (c *checker) linkAddresses() []string {
 	var out []string
 	if c.file.Entry != nil {
 		out = append(out, c.file.Entry.Links)
@@ -131,7 +131,7 @@
 	return out
 }
 
-func loopback(addr string) bool {
+func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
--- a/config/config.go
+++ b/config/config.go
@@ -188,7 +188,7 @@
 var DefaultHeldMemory = HeldMemory{Share: 0.4, Organisation: 0.5}
 
 // orDefault fills in what the file leaves out.
-func (h HeldMemory) orDefault() HeldMemory {
+func (h HeldMemory) withDefaults() HeldMemory {
 	if h.Share == 0 {
 		h.Share = DefaultHeldMemory.Share
 	}
@@ -253,14 +253,14 @@
 		f.Gateway.Retry = DefaultRetry
 	}
 	if f.Gateway != nil {
-		f.Gateway.Held = f.Gateway.Held.orDefault()
+		f.Gateway.Held = f.Gateway.Held.withDefaults()
 	}
 	if f.Control != nil && f.Control.Engines == (Engines{}) {
 		f.Control.Engines = DefaultEngines
 	}
 	c := checker{path: path, file: f}
-	c.roles()
-	c.addresses()
-	c.tokens()
-	return f, c.found.Err()
+	c.checkRoles()
+	c.checkAddresses()
+	c.checkTokens()
+	return f, c.problems.Err()
 }
--- a/config/logger.go
+++ b/config/logger.go
@@ -26,8 +26,8 @@
 		event.LogDropped.Log(log, "lines", lines)
 	})
 	log = slog.New(slog.NewJSONHandler(q, o))
-	return log, func() { q.Close(flushTime) }
+	return log, func() { q.Close(flushTimeout) }
 }
 
 // flushTime bounds how long the end of a process waits for its log.
-const flushTime = 300 * time.Millisecond
+const flushTimeout = 300 * time.Millisecond
--- a/config/secrets.go
+++ b/config/secrets.go
@@ -11,7 +11,7 @@
 )
 
 // minToken is the least length of a bearer token, in characters.
-const minToken = 16
+const minTokenChars = 16
 
 // ReadToken reads a bearer token from a file; no file gives no token.
 func ReadToken(path string) (string, error) {
@@ -23,8 +23,8 @@
 		return "", fault.Wrap(err, fault.InvalidConfig, fault.StepConfig, path)
 	}
 	token := strings.TrimSpace(string(data))
-	if len(token) < minToken {
-		return "", fault.New(fault.InvalidConfig, fault.StepConfig, path, fmt.Sprintf("want a token of at least %d characters", minToken))
+	if len(token) < minTokenChars {
+		return "", fault.New(fault.InvalidConfig, fault.StepConfig, path, fmt.Sprintf("want a token of at least %d characters", minTokenChars))
 	}
 	return token, nil
 }
