--- a/strict/strict.go
+++ b/strict/strict.go
@@ -71,8 +71,8 @@
 	w := walker{file: file}
 	root := doc.Content[0]
 	w.value(root, reflect.TypeOf(out).Elem(), "", "")
-	if len(w.found) > 0 {
-		return w.found
+	if len(w.problems) > 0 {
+		return w.problems
 	}
 	if err := root.Decode(out); err != nil {
 		return Problems{{File: file, Line: yamlLine(err), Path: ".", Want: err.Error()}}
@@ -92,18 +92,18 @@
 }
 
 type walker struct {
-	file  string
-	found Problems
+	file     string
+	problems Problems
 }
 
 func (w *walker) report(n *yaml.Node, path, format string, args ...any) {
-	if len(w.found) >= maxProblems {
+	if len(w.problems) >= maxProblems {
 		return
 	}
 	if path == "" {
 		path = "."
 	}
-	w.found = append(w.found, Problem{File: w.file, Line: n.Line, Path: path, Want: fmt.Sprintf(format, args...)})
+	w.problems = append(w.problems, Problem{File: w.file, Line: n.Line, Path: path, Want: fmt.Sprintf(format, args...)})
 }
 
 var unmarshaler = reflect.TypeFor[yaml.Unmarshaler]()
@@ -140,7 +140,7 @@
 		return
 	}
 	if t.Kind() == reflect.Int64 {
-		w.bounds(n, path, check, float64(v.Elem().Int()))
+		w.checkBounds(n, path, check, float64(v.Elem().Int()))
 	}
 }
 
@@ -157,7 +157,7 @@
 		at := join(path, key.Value)
 		switch {
 		case !ok:
-			w.report(key, at, "unknown key; want one of %s", names(t))
+			w.report(key, at, "unknown key; want one of %s", keyList(t))
 		case seen[key.Value]:
 			w.report(key, at, "the key is given twice")
 		default:
@@ -182,7 +182,7 @@
 		key, val := n.Content[i], n.Content[i+1]
 		at := join(path, key.Value)
 		if !validName(key.Value) {
-			w.report(key, at, "want a name of letters, digits, '.', '_', '-' or '/', at most %d long", maxName)
+			w.report(key, at, "want a name of letters, digits, '.', '_', '-' or '/', at most %d long", maxNameLength)
 		}
 		if seen[key.Value] {
 			w.report(key, at, "the name is given twice")
@@ -214,15 +214,15 @@
 	}
 	switch v := v.Elem(); v.Kind() {
 	case reflect.Int, reflect.Int64:
-		w.bounds(n, path, check, float64(v.Int()))
+		w.checkBounds(n, path, check, float64(v.Int()))
 	case reflect.Float64:
-		w.bounds(n, path, check, v.Float())
+		w.checkBounds(n, path, check, v.Float())
 	case reflect.String:
-		w.oneOf(n, path, check, v.String())
+		w.checkOneOf(n, path, check, v.String())
 	}
 }
 
-func (w *walker) bounds(n *yaml.Node, path, check string, got float64) {
+func (w *walker) checkBounds(n *yaml.Node, path, check string, got float64) {
 	for _, rule := range strings.Split(check, ",") {
 		name, arg, _ := strings.Cut(rule, "=")
 		limit, err := strconv.ParseFloat(arg, 64)
@@ -236,7 +236,7 @@
 	}
 }
 
-func (w *walker) oneOf(n *yaml.Node, path, check, got string) {
+func (w *walker) checkOneOf(n *yaml.Node, path, check, got string) {
 	for _, rule := range strings.Split(check, ",") {
 		list, ok := strings.CutPrefix(rule, "oneof=")
 		if !ok {
@@ -251,10 +251,10 @@
 	}
 }
 
-const maxName = 100
+const maxNameLength = 100
 
 func validName(s string) bool {
-	if s == "" || len(s) > maxName {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for _, r := range s {
@@ -286,12 +286,12 @@
 }
 
 // names lists the keys of a struct type in the order of its fields.
-func names(t reflect.Type) string {
+func keyList(t reflect.Type) string {
 	var out []string
 	for i := range t.NumField() {
 		name, opts, _ := strings.Cut(t.Field(i).Tag.Get("yaml"), ",")
 		if strings.Contains(opts, "inline") {
-			out = append(out, names(t.Field(i).Type))
+			out = append(out, keyList(t.Field(i).Type))
 		} else if name != "" && name != "-" {
 			out = append(out, name)
 		}
