--- a/consensus/idle.go
+++ b/consensus/idle.go
@@ -24,8 +24,8 @@
 
 // idleDue returns when an idle replica asks for pre-votes next.
 func (n *Node) idleElectionDue(now time.Time) time.Time {
-	minWait := n.cfg.ElectionMin / idleElectionDivisor
-	return now.Add(minWait/2 + time.Duration(n.rng.Int64N(int64(max(minWait, 1)))))
+	interval := n.cfg.ElectionMin / idleElectionDivisor
+	return now.Add(interval/2 + time.Duration(n.rng.Int64N(int64(max(interval, 1)))))
 }
 
 // noteIdle takes what a voter says about itself in a round of pre-votes.
