--- a/consensus/decode.go
+++ b/consensus/decode.go
@@ -6,12 +6,12 @@
 	"github.com/ledgepin/ledgepin/internal/exact"
 )
 
-// A replica keeps and passes on what a leader wrote, so it takes an entry or a snapshot whole
-// or not at all: what it passed over would be lost to it and to those that it tells. An entry
-// that can't be read is marked instead of ending the decoding, since one packet must not end
-// the link that it came by.
+// A replica stores and forwards what a leader wrote, so it accepts an entry or a snapshot only if
+// it can decode all of it: fields that it ignored would be lost here and at the replicas that it
+// sends them to. An entry that can't be decoded is marked and doesn't end the decoding of its
+// packet, since a single packet must not close the link on which it arrived.
 
-// UnmarshalCBOR reads an entry; what has a field that is not known is marked.
+// UnmarshalCBOR decodes an entry. If it has an unknown field, only DecodeErr is set.
 func (e *Entry) UnmarshalCBOR(data []byte) error {
 	type plain Entry
 	if err := exact.Unmarshal(data, (*plain)(e)); err != nil {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// UnmarshalCBOR reads a snapshot; one that has a field that is not known is marked.
+// UnmarshalCBOR decodes a snapshot. If it has an unknown field, only DecodeErr is set.
 func (s *Snapshot) UnmarshalCBOR(data []byte) error {
 	type plain Snapshot
 	if err := exact.Unmarshal(data, (*plain)(s)); err != nil {
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// Unread returns what of a packet can't be read; nil if it can be taken.
+// DecodeErr returns the error of the first entry or snapshot of the packet that could not be
+// decoded; nil if the packet can be processed.
 func (p *Packet) DecodeErr() error {
 	for i := range p.Entries {
 		if err := p.Entries[i].DecodeErr; err != nil {
@@ -42,9 +43,9 @@
 	return nil
 }
 
-// Stop tells that the command at an index that Take has returned can't be carried out here: it
-// and all after it count as not applied, and the replica answers nothing and votes for nobody
-// from now on.
+// StopAt reports to the node that the command at an index that Ready has returned can't be applied
+// here. That command and all after it count as not applied, and the replica sends no packets and
+// grants no votes from now on.
 func (n *Node) StopAt(index uint64) {
 	n.applied = min(n.applied, index-1)
 	n.MarkFailed()
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -16,7 +16,7 @@
 	n.electionDue = now.Add(n.cfg.ElectionMin + time.Duration(n.rng.Int64N(max(spread, 1))))
 }
 
-// follow makes the replica a follower in a term; leader may be empty.
+// becomeFollower makes the replica a follower in a term; leader is empty if it is not known.
 func (n *Node) becomeFollower(now time.Time, term uint64, leader string) {
 	if term > n.hard.Term {
 		n.hard = Hard{Term: term}
@@ -33,8 +33,8 @@
 	n.out.Packets = append(n.out.Packets, p)
 }
 
-// startPreVote asks whether an election could be won, without a new term, so
-// that a replica that was cut off does not disturb the leader.
+// startPreVote asks the voters whether the replica would win an election, without starting a new
+// term, so that a replica that was partitioned doesn't disrupt the leader.
 func (n *Node) startPreVote(now time.Time) {
 	n.role = PreCandidate
 	n.leader = ""
@@ -87,8 +87,8 @@
 	n.becomeLeader(now)
 }
 
-// lead makes the replica the leader. The entry without a command that it
-// appends lets it know which older entries are committed.
+// becomeLeader makes the replica the leader. It appends an entry without a command: once that
+// entry is committed, all older entries are known to be committed.
 func (n *Node) becomeLeader(now time.Time) {
 	n.idle = false
 	n.role = Leader
@@ -102,7 +102,7 @@
 	n.advanceCommit(now)
 }
 
-// upToDate tells whether a candidate's log has all that this one has.
+// upToDate reports whether a candidate's log contains at least what this replica's log contains.
 func (n *Node) upToDate(p Packet) bool {
 	if p.LogTerm != n.log.lastTerm() {
 		return p.LogTerm > n.log.lastTerm()
@@ -110,7 +110,8 @@
 	return p.Index >= n.log.lastIndex()
 }
 
-// sticky tells whether a leader was heard so lately that its lease may live.
+// leaseMayBeLive reports whether the last contact with a leader is so recent that its lease may
+// still be live.
 func (n *Node) leaseMayBeLive(now time.Time) bool {
 	return n.role == Leader && n.IsLeader(now) || now.Sub(n.lastLeaderContact) < n.cfg.ElectionMin
 }
@@ -120,8 +121,8 @@
 	ok := fits && !n.leaseMayBeLive(now)
 	term := p.Term
 	if !ok {
-		// A candidate with a lower term but a longer log has to learn the term,
-		// or neither of the two could ever be elected.
+		// A candidate with a lower term but a longer log has to learn the current term; otherwise
+		// neither of the two could ever be elected.
 		term = n.hard.Term
 	}
 	n.send(Packet{Kind: PreVoted, To: p.From, Term: term, OK: ok, Seq: p.Seq, Idle: n.idle, Fits: fits})
--- a/consensus/idle.go
+++ b/consensus/idle.go
@@ -2,44 +2,42 @@
 
 import "time"
 
-// After its start a replica grants no votes for the election time, since it may
-// have acknowledged a leader just before it went down, and that leader's lease
-// may be live. When all voters start together, as after a loss of power, that
-// wait is for nothing: a leader is one of the voters, and a voter that has
-// heard no leader since its start is none. So a candidate to which every voter
-// says that it is idle in this sense may ask for votes at once, and voters that
-// are still idle grant them.
+// A replica grants no votes during the election timeout after its start: it may have acknowledged
+// a leader just before it went down, and the lease of that leader may still be live. When all
+// voters restart together, for example after a power failure, this wait is unnecessary: a leader
+// is one of the voters, and a voter that has had no contact with a leader since its start does not
+// lead. Such a voter is idle. A candidate may request votes at once if every voter has reported
+// that it is idle, and voters that are still idle grant them.
 //
-// A voter that has lost its disk can say nothing: what runs in its place has
-// another identity, and no vote. But it leads nobody either, so it does not hold
-// the others up.
+// A voter that has lost its disk can't report: the replica that runs in its place has another
+// identity and no vote. But the lost voter can't lead either, so the election doesn't wait for it.
 //
-// A voter that has heard a leader meanwhile is not idle any more and keeps to
-// the election time, so a new leader's lease is as safe as ever. The answers
-// count for one round of pre-votes only.
+// A voter that receives an Append or a snapshot from a leader is no longer idle and waits for the
+// election timeout, so the lease of a new leader stays safe. The reports count for one round of
+// pre-votes only.
 
-// bootElection bounds the time between two rounds of pre-votes of an idle
-// replica, as a share of the least election time.
+// idleElectionDivisor sets the average time between two rounds of pre-votes of an idle replica:
+// ElectionMin divided by it.
 const idleElectionDivisor = 10
 
-// idleDue returns when an idle replica asks for pre-votes next.
+// idleElectionDue returns when an idle replica starts its next round of pre-votes.
 func (n *Node) idleElectionDue(now time.Time) time.Time {
 	interval := n.cfg.ElectionMin / idleElectionDivisor
 	return now.Add(interval/2 + time.Duration(n.rng.Int64N(int64(max(interval, 1)))))
 }
 
-// noteIdle takes what a voter says about itself in a round of pre-votes.
+// recordIdle records that a voter reports itself idle in the current round of pre-votes.
 func (n *Node) recordIdle(p Packet) {
 	if p.Kind == PreVoted && n.role == PreCandidate && p.Seq == n.preRound && p.Idle {
 		n.idleVoters[p.From] = p.Fits
 	}
 }
 
-// NoteLost takes that a replica has lost its disk, and that its process has ended:
-// another identity answers at its address. It never votes or leads again.
+// MarkLost records that a replica has lost its disk and that its process has ended: a replica
+// with another identity answers at its address. The lost replica never votes or leads again.
 func (n *Node) MarkLost(id string) { n.lost[id] = true }
 
-// allIdle tells whether every voter is idle, or lost, and a majority would grant
+// allIdle reports whether every voter is idle or lost, and a majority of the voters would grant
 // its vote.
 func (n *Node) allIdle() bool {
 	if !n.idle {
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -16,16 +16,16 @@
 	return l
 }
 
-// last returns the index of the last entry.
+// lastIndex returns the index of the last entry.
 func (l *log) lastIndex() uint64 { return l.snap.Index + uint64(len(l.entries)) }
 
 // lastTerm returns the term of the last entry.
 func (l *log) lastTerm() uint64 { return l.term(l.lastIndex()) }
 
-// has tells whether the term of an index is known.
+// hasTerm reports whether the term of the entry at an index is known.
 func (l *log) hasTerm(index uint64) bool { return index >= l.snap.Index && index <= l.lastIndex() }
 
-// term returns the term of an index that has reports true for.
+// term returns the term of the entry at an index; hasTerm must be true for it.
 func (l *log) term(index uint64) uint64 {
 	if index == l.snap.Index {
 		return l.snap.Term
@@ -35,12 +35,12 @@
 
 func (l *log) append(e Entry) { l.entries = append(l.entries, e) }
 
-// cut drops the entries from an index on.
+// truncateFrom drops the entry at an index and all after it.
 func (l *log) truncateFrom(index uint64) {
 	l.entries = l.entries[: index-l.snap.Index-1 : index-l.snap.Index-1]
 }
 
-// from returns the entries from an index on.
+// from returns the entry at an index and all after it.
 func (l *log) from(index uint64) []Entry {
 	if index <= l.snap.Index {
 		index = l.snap.Index + 1
@@ -66,7 +66,7 @@
 	l.snap = s
 }
 
-// reset replaces all by a snapshot.
+// reset replaces the whole log by a snapshot.
 func (l *log) reset(s Snapshot) {
 	l.snap = s
 	l.entries = nil
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// setMembers puts a membership in force: from the moment that it is in the
-// log, committed or not.
+// setMembers puts a membership into force. It is in force as soon as it is in the log, committed
+// or not.
 func (n *Node) setMembers(m Members, index uint64) {
 	n.members, n.membersIndex = m, index
 	if n.role == Leader {
@@ -14,7 +14,7 @@
 	}
 }
 
-// findMembers looks for the newest membership in the log.
+// findMembers puts the newest membership of the log into force, or base if the log has none.
 func (n *Node) findMembers(base Members) {
 	n.members, n.membersIndex = base, n.log.snap.Index
 	for _, e := range n.log.entries {
@@ -38,8 +38,9 @@
 	return m
 }
 
-// syncPeers keeps a progress for each other replica. A new one counts as heard
-// at zero time, so it adds nothing to the leader lease.
+// syncPeers keeps a progress for each other replica. The time of the last acknowledgement of a new
+// one is now; setMembers passes the zero time, so that the new replica doesn't extend the leader
+// lease.
 func (n *Node) syncPeers(now time.Time) {
 	want := append(slices.Clone(n.members.Voters), n.members.Learners...)
 	for _, id := range want {
@@ -54,15 +55,15 @@
 	}
 }
 
-// Change is one step of membership.
+// Change is one membership change.
 type Change struct {
-	// Add names a new learner, Promote a learner to become a voter, Remove a
-	// replica to leave. Exactly one is set.
+	// Add is the ID of a new learner, Promote that of a learner that becomes a voter, Remove
+	// that of a replica to be removed. Exactly one is set.
 	Add, Promote, Remove string
 }
 
-// ChangeMembers proposes one step of membership. At most one may be under way,
-// and a learner is promoted only after it has caught up.
+// ChangeMembers proposes a membership change and returns its index in the log. Only one change may
+// be uncommitted at a time, and a learner is promoted only after it has caught up.
 func (n *Node) ChangeMembers(now time.Time, c Change) (uint64, error) {
 	if !n.IsLeader(now) {
 		return 0, ErrNotLeader
--- a/consensus/message.go
+++ b/consensus/message.go
@@ -1,37 +1,37 @@
 package consensus
 
-// Packet is one message between replicas. Which fields count depends on Kind.
+// Packet is a message between replicas. Kind determines which fields are used.
 type Packet struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	From string `cbor:"2,keyasint"`
 	To   string `cbor:"3,keyasint"`
 	Term uint64 `cbor:"4,keyasint"`
-	// Index and LogTerm name a log entry: the last of a candidate, or the one
-	// before the entries of an Append.
+	// Index and LogTerm identify a log entry: the last one of a candidate, or the one before
+	// the entries of an Append.
 	Index   uint64  `cbor:"5,keyasint,omitempty"`
 	LogTerm uint64  `cbor:"6,keyasint,omitempty"`
 	Entries []Entry `cbor:"7,keyasint,omitempty"`
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
-	// OK tells that a vote was granted or an Append matched; in an Append, that
+	// OK reports that a vote was granted or that an Append matched the log; in an Append, that
 	// the leader sent it under a live lease.
 	OK bool `cbor:"9,keyasint,omitempty"`
-	// Hint is where the follower's log ends, if an Append did not match.
+	// Hint is the index of the follower's last entry if an Append did not match.
 	Hint uint64 `cbor:"10,keyasint,omitempty"`
-	// Seq numbers the rounds of heartbeats, for the leader lease.
+	// Seq numbers the heartbeat rounds, for the leader lease.
 	Seq      uint64    `cbor:"11,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"12,keyasint,omitempty"`
-	// Stamp is a follower's mark in an Appended, which the leader's next Append
-	// gives back: only an answer shows how old the leader's report is.
+	// Stamp is set by a follower in an Appended, and the leader returns it in its next Append:
+	// only such a response shows the follower how old the leader's information is.
 	Stamp uint64 `cbor:"13,keyasint,omitempty"`
-	// Idle tells in a PreVoted that the replica has heard no leader since its
-	// start, and in a Vote that all voters have said so; see boot.go.
+	// Idle reports in a PreVoted that the replica has had no contact with a leader since its
+	// start, and in a Vote that all voters have reported this; see idle.go.
 	Idle bool `cbor:"14,keyasint,omitempty"`
-	// Fits tells in a PreVoted that the vote would be granted if no leader's
-	// lease could be live.
+	// Fits reports in a PreVoted that the replica would grant the vote if no leader's lease could
+	// be live.
 	Fits bool `cbor:"15,keyasint,omitempty"`
 }
 
-// Kind is what a Packet is.
+// Kind is the type of a Packet.
 type Kind uint8
 
 // The kinds of packets.
@@ -50,11 +50,11 @@
 type Entry struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Term  uint64 `cbor:"2,keyasint"`
-	// Data is the command; empty in the entry that opens a term.
+	// Data is the command; empty in the first entry of a term.
 	Data []byte `cbor:"3,keyasint,omitempty"`
-	// Members is the new membership, in the entries that change it.
+	// Members is the new membership; only set in entries that change it.
 	Members *Members `cbor:"4,keyasint,omitempty"`
-	// Unread tells why the entry could not be read; it has nothing else then.
+	// DecodeErr is set if the entry could not be decoded; all other fields are empty then.
 	DecodeErr error `cbor:"-"`
 }
 
@@ -70,6 +70,6 @@
 	Term    uint64  `cbor:"2,keyasint"`
 	Members Members `cbor:"3,keyasint"`
 	Data    []byte  `cbor:"4,keyasint"`
-	// Unread tells why the snapshot could not be read; it has nothing else then.
+	// DecodeErr is set if the snapshot could not be decoded; all other fields are empty then.
 	DecodeErr error `cbor:"-"`
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// Config are the fixed values of a replica.
+// Config holds the fixed parameters of a replica.
 type Config struct {
 	ID string
-	// HeartbeatEvery is the time between two rounds of a leader.
+	// HeartbeatInterval is the time between two heartbeat rounds of a leader.
 	HeartbeatInterval time.Duration
-	// ElectionMin is how long a voter that heard from a leader grants no
-	// other votes; elections start between ElectionMin and ElectionMax.
+	// ElectionMin is the time after its last contact with a leader in which a voter grants no
+	// vote. A replica starts an election after a random time from ElectionMin to ElectionMax
+	// without contact.
 	ElectionMin, ElectionMax time.Duration
-	// Drift bounds how much faster one clock runs than another, as a share.
-	// The leader lease is shortened by it.
+	// MaxClockDrift is the largest share by which one clock runs faster than another. The leader
+	// lease is shortened by it.
 	MaxClockDrift float64
 }
 
-// Hard is the state that must be synced before any answer.
+// Hard is the state that must be synced before any packet that depends on it is sent.
 type Hard struct {
 	Term uint64 `cbor:"1,keyasint"`
 	Vote string `cbor:"2,keyasint,omitempty"`
 }
 
-// Restored is what a replica finds on its disk at the start.
+// Restored is the state that a replica reads from its disk at its start.
 type Restored struct {
 	Hard     Hard
 	Snapshot Snapshot
 	Entries  []Entry
 }
 
-// Ready is what the shell has to do after each call, in this order: install
+// Ready lists what the caller has to do after each call of a method, in this order: install
 // Snapshot, sync Hard and Entries, send Packets, apply Committed.
 type Ready struct {
 	Snapshot  *Snapshot
@@ -44,12 +45,12 @@
 	Committed []Entry
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
 	return r.Snapshot == nil && r.Hard == nil && len(r.Entries)+len(r.Packets)+len(r.Committed) == 0
 }
 
-// Role is what a replica is at present.
+// Role is the role of a replica in its term.
 type Role uint8
 
 // The roles.
@@ -69,13 +70,13 @@
 var (
 	ErrNotLeader     = errors.New("consensus: not the leader with a live lease")
 	ErrChangePending = errors.New("consensus: another membership change is not committed yet")
-	ErrInvalidChange = errors.New("consensus: the membership change makes no sense")
+	ErrInvalidChange = errors.New("consensus: invalid membership change")
 )
 
-// progress is what a leader knows of another replica.
+// progress is a leader's view of another replica.
 type progress struct {
 	next, match uint64
-	stamp       uint64    // the mark to give back to it
+	stamp       uint64    // its last stamp, for the next Append
 	ackAt       time.Time // when the newest acknowledged round was sent
 	installing  bool
 	installAt   time.Time
@@ -98,61 +99,61 @@
 	votes             map[string]bool
 	peers             map[string]*progress
 	lastLeaderContact time.Time
-	// idle tells that no leader was heard since the start; idles are the voters
-	// that say the same in the round of pre-votes preRound, and whether they
+	// idle is set if the replica has had no contact with a leader since its start. idleVoters
+	// are the voters that report the same in the round of pre-votes preRound, with whether they
 	// would grant their vote.
 	idle       bool
 	idleVoters map[string]bool
-	// lost are replicas that have lost their disks for good.
+	// lost holds the replicas that have permanently lost their disks.
 	lost     map[string]bool
 	preRound uint64
-	// forced tells that this candidacy rests on all voters being idle.
+	// idleElection is set if the current candidacy relies on all voters being idle.
 	idleElection     bool
 	electionDue      time.Time
 	heartbeatDue     time.Time
 	seq              uint64
 	sentAt           map[uint64]time.Time
-	firstIndexOfTerm uint64 // index of the entry that opened the leader's term
+	firstIndexOfTerm uint64 // index of the leader's first entry in its term
 	failed           bool
-	// freshAt is the latest moment of which a leader under its lease has told
-	// the commit index; stamps are the marks that it may give back.
+	// freshAt is the latest time for which a leader under its lease has confirmed the commit
+	// index. stamps holds when each stamp that the leader may return was sent.
 	freshAt time.Time
 	stamp   uint64
 	stamps  map[uint64]time.Time
 
 	out       Ready
 	hardDirty bool
-	unsynced  uint64 // lowest index that is not in a Ready yet; zero if none
+	unsynced  uint64 // lowest index not yet returned in a Ready; zero if none
 }
 
-// New returns a replica with what was on its disk. A replica without any
-// members waits to be added by a leader.
+// New returns a replica with the state from its disk. first is the membership if that state has
+// none. A replica without members waits until a leader adds it.
 func New(cfg Config, r Restored, first Members, now time.Time, rng *rand.Rand) *Node {
 	n := &Node{cfg: cfg, rng: rng, hard: r.Hard, log: newLog(r.Snapshot, r.Entries), stamps: map[uint64]time.Time{}, lost: map[string]bool{}}
-	n.stamp = rng.Uint64() >> 1 // marks of an earlier life mean nothing
+	n.stamp = rng.Uint64() >> 1 // random, so that stamps of an earlier incarnation are not accepted
 	n.commit, n.applied = r.Snapshot.Index, r.Snapshot.Index
 	n.members = first
 	if r.Snapshot.Index > 0 {
 		n.members = r.Snapshot.Members
 	}
 	n.findMembers(n.members)
-	// It may have granted a lease to a leader just before it went down.
+	// The replica may have acknowledged a leader just before it went down, whose lease is still live.
 	n.lastLeaderContact = now
 	n.idle = true
 	n.resetElection(now)
 	if len(n.members.Voters) == 1 && n.voter(cfg.ID) {
-		n.electionDue = now // there is nobody to wait for
+		n.electionDue = now // there are no other voters to wait for
 	}
 	return n
 }
 
-// Bootstrap returns what the disk of a first replica holds: a membership that
-// all first replicas share.
+// Bootstrap returns the initial state on the disk of each first replica, which all have the same
+// membership.
 func Bootstrap(m Members) Restored {
 	return Restored{Snapshot: Snapshot{Index: 1, Term: 1, Members: m}, Hard: Hard{Term: 1}}
 }
 
-// Take returns what is to be done, and forgets it.
+// Ready returns the pending work and clears it.
 func (n *Node) Ready() Ready {
 	out := n.out
 	n.out = Ready{}
@@ -175,18 +176,18 @@
 	return out
 }
 
-// Fail tells that the disk refused a write or a sync: the replica answers
-// nothing and votes for nobody from now on.
+// MarkFailed records that a write to or a sync of the disk failed. The replica sends no packets
+// and grants no votes from now on.
 func (n *Node) MarkFailed() {
 	n.failed = true
 	n.role = Follower
 	n.leader = ""
 }
 
-// Failed tells whether the replica has been told that its disk failed.
+// Failed reports whether MarkFailed or StopAt was called.
 func (n *Node) Failed() bool { return n.failed }
 
-// Tick does what is due by time.
+// Tick starts elections and sends heartbeats that are due.
 func (n *Node) Tick(now time.Time) {
 	if n.failed {
 		return
@@ -210,8 +211,8 @@
 	}
 }
 
-// Lead tells whether this replica is the leader under a live lease, and has
-// committed an entry of its own term: only then is what it knows current.
+// IsLeader reports whether this replica is the leader under a live lease and has committed an
+// entry of its own term: only then is its state current.
 func (n *Node) IsLeader(now time.Time) bool {
 	if n.role != Leader || n.failed || n.commit < n.firstIndexOfTerm {
 		return false
@@ -220,14 +221,14 @@
 	return now.Before(n.quorumAck(now).Add(leaseDuration))
 }
 
-// Fresh tells whether what is committed here is current to within the election
-// time: this replica leads, or has heard from a leader under its lease.
+// Fresh reports whether the committed state of this replica is at most ElectionMin old: it leads,
+// or it has been confirmed by a leader under its lease.
 func (n *Node) Fresh(now time.Time) bool {
 	return n.IsLeader(now) || !n.failed && n.role == Follower && now.Sub(n.freshAt) < n.cfg.ElectionMin
 }
 
-// quorumAck returns the time at which the newest round was sent that a
-// majority of the voters has acknowledged.
+// quorumAck returns the time at which the leader sent the newest heartbeat round that a majority
+// of the voters has acknowledged.
 func (n *Node) quorumAck(now time.Time) time.Time {
 	times := make([]time.Time, 0, len(n.members.Voters))
 	for _, v := range n.members.Voters {
@@ -247,7 +248,8 @@
 
 func majority(n int) int { return n/2 + 1 }
 
-// Propose appends a command; it is accepted once it is in Committed.
+// Propose appends a command and returns its index; the command is accepted once it is in
+// Committed of a Ready.
 func (n *Node) Propose(now time.Time, data []byte) (index uint64, err error) {
 	if !n.IsLeader(now) {
 		return 0, ErrNotLeader
@@ -258,7 +260,7 @@
 	return e, nil
 }
 
-// append adds an entry of the present term to the leader's log.
+// append adds an entry of the current term to the leader's log.
 func (n *Node) append(e Entry) uint64 {
 	e.Index, e.Term = n.log.lastIndex()+1, n.hard.Term
 	n.log.append(e)
@@ -275,8 +277,8 @@
 	}
 }
 
-// Compact drops the log up to an index that has been applied; data is the
-// state after it. It returns the snapshot to be kept.
+// Compact drops the log up to an applied index; data is the state after it. It returns the
+// snapshot that the caller has to store, and false if there is nothing to drop.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, bool) {
 	if index > n.applied || index <= n.log.snap.Index {
 		return Snapshot{}, false
@@ -286,13 +288,13 @@
 	return s, true
 }
 
-// Entries returns the log after the snapshot, for a journal that is rewritten.
+// Entries returns the log after the snapshot, for rewriting the journal.
 func (n *Node) Entries() []Entry { return n.log.from(n.log.snap.Index + 1) }
 
 // Hard returns the hard state.
 func (n *Node) Hard() Hard { return n.hard }
 
-// Status is the state of a replica for the dump and the metrics.
+// Status is the state of a replica for dumps and metrics.
 type Status struct {
 	ID      string  `json:"id"`
 	Role    string  `json:"role"`
@@ -303,12 +305,12 @@
 	Last    uint64  `json:"last"`
 	First   uint64  `json:"first"`
 	Members Members `json:"members"`
-	// Pending tells that Members is in force but not committed: the loss of the
-	// replicas that have it takes it back.
+	// Pending reports that Members is in force but not committed: it is reverted if the replicas
+	// that have it are lost.
 	Pending bool `json:"members_pending"`
 	Lease   bool `json:"lease"`
 	Failed  bool `json:"failed"`
-	// Lost are the replicas that are taken to have lost their disks.
+	// Lost holds the replicas that are considered to have lost their disks.
 	Lost []string `json:"lost,omitempty"`
 }
 
@@ -321,8 +323,8 @@
 	}
 }
 
-// Silence returns how long another replica has not acknowledged this leader;
-// zero if this replica does not lead, or knows none of that name.
+// TimeSinceAck returns the time since the sending of the newest round that another replica has
+// acknowledged to this leader; zero if this replica does not lead or the other is no member.
 func (n *Node) TimeSinceAck(now time.Time, id string) time.Duration {
 	p := n.peers[id]
 	if n.role != Leader || p == nil {
@@ -331,13 +333,13 @@
 	return now.Sub(p.ackAt)
 }
 
-// Leader returns the leader as far as the replica knows; empty if none.
+// Leader returns the ID of the leader as far as the replica knows; empty if it knows none.
 func (n *Node) Leader() string { return n.leader }
 
-// Term returns the present term.
+// Term returns the current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
-// Caught tells whether a replica has all but a few entries of the leader's log.
+// CaughtUp reports whether a replica has all but a few entries of the leader's log.
 func (n *Node) CaughtUp(id string) bool {
 	const maxLag = 16
 	p := n.peers[id]
--- a/consensus/packet_fuzz_test.go
+++ b/consensus/packet_fuzz_test.go
@@ -9,8 +9,9 @@
 	"github.com/ledgepin/ledgepin/consensus"
 )
 
-// FuzzPacket wants a packet to be read whole or to say what of it was not: an entry or snapshot
-// that is marked has nothing else, and one that isn't is the same when it is passed on.
+// FuzzPacket requires a packet to be decoded completely or to report what was not: an entry or a
+// snapshot with a decoding error is empty otherwise, and a packet without errors is the same after
+// it is encoded and decoded again.
 func FuzzPacket(f *testing.F) {
 	for _, p := range []fields{
 		{1: consensus.Append, 2: "b", 3: "a", 4: 5, 5: 1, 6: 1, 7: []fields{{1: 2, 2: 5, 3: []byte("x")}, {1: 3, 2: 5, 4: fields{1: []string{"a"}}}}},
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Bounds of one Append.
+// Limits of replication.
 const (
 	maxAppendEntries = 256
 	maxAppendBytes   = 1 << 20
-	// installEvery is the time between two tries to send a snapshot.
+	// installRetryInterval is the time between two attempts to send a snapshot.
 	installRetryInterval = time.Second
-	// maxSent bounds the rounds whose times are kept.
+	// maxRounds is the number of rounds whose send times are kept.
 	maxRounds = 256
 )
 
-// Step takes a packet from another replica.
+// Step processes a packet from another replica. Packets that can't be decoded are ignored.
 func (n *Node) Step(now time.Time, p Packet) {
 	if n.failed || p.To != n.cfg.ID || p.DecodeErr() != nil {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// fromLeader takes what only a leader sends.
+// onLeaderPacket processes a packet that only a leader sends.
 func (n *Node) onLeaderPacket(now time.Time, p Packet) {
 	if p.Term < n.hard.Term {
 		n.send(Packet{Kind: Appended, To: p.From, Term: n.hard.Term})
@@ -57,7 +57,7 @@
 	}
 }
 
-// mark makes a mark for the leader to give back.
+// newStamp returns a stamp for the leader to return and records the time of its creation.
 func (n *Node) newStamp(now time.Time) uint64 {
 	n.stamp++
 	n.stamps[n.stamp] = now
@@ -83,8 +83,8 @@
 	n.send(reply)
 }
 
-// take puts a leader's entry into the log; an own entry of another term gives
-// way with all after it.
+// storeEntry adds a leader's entry to the log. If the log has an entry of another term at that
+// index, that entry and all after it are dropped.
 func (n *Node) storeEntry(e Entry) {
 	if e.Index <= n.log.snap.Index {
 		return
@@ -105,8 +105,8 @@
 	}
 }
 
-// onInstall takes a snapshot. One that the log already covers only moves the
-// commit index: entries after it may have been acknowledged and must stay.
+// onInstall processes a snapshot. If the log already covers it, only the commit index changes:
+// entries after it may have been acknowledged and must stay.
 func (n *Node) onInstall(p Packet) {
 	s := *p.Snapshot
 	reply := Packet{Kind: Installed, To: p.From, Term: n.hard.Term, Seq: p.Seq, OK: true}
@@ -125,7 +125,7 @@
 	n.send(reply)
 }
 
-// broadcast sends a round of Appends to all replicas.
+// broadcast sends an Append to all other replicas.
 func (n *Node) broadcast(now time.Time) {
 	n.heartbeatDue = now.Add(n.cfg.HeartbeatInterval)
 	n.seq++
@@ -160,7 +160,7 @@
 	p.next += uint64(len(entries))
 }
 
-// bounded cuts a run of entries at the size of one Append.
+// limitSize returns the first entries that fit into one Append, at least one.
 func limitSize(entries []Entry) []Entry {
 	size := 0
 	for i, e := range entries {
@@ -172,7 +172,7 @@
 	return entries
 }
 
-// sendInstall sends the snapshot, or only a heartbeat while one is under way.
+// sendInstall sends the snapshot, or only a heartbeat while the previous attempt is recent.
 func (n *Node) sendInstall(now time.Time, id string, p *progress) {
 	if p.installing && now.Sub(p.installAt) < installRetryInterval {
 		last := n.log.snap.Index
@@ -184,7 +184,7 @@
 	n.send(Packet{Kind: Install, To: id, Term: n.hard.Term, Seq: n.seq, Snapshot: &s})
 }
 
-// onAck takes the answer to an Append or an Install.
+// onAck processes the response to an Append or an Install.
 func (n *Node) onAck(now time.Time, a Packet) {
 	if a.Term > n.hard.Term {
 		n.becomeFollower(now, a.Term, "")
@@ -197,7 +197,7 @@
 	if at, ok := n.sentAt[a.Seq]; ok && at.After(p.ackAt) {
 		p.ackAt = at
 	}
-	p.stamp = a.Stamp // not the highest: a follower that restarts begins anew
+	p.stamp = a.Stamp // not the highest: a follower that has restarted begins with another number
 	if !a.OK {
 		if !p.installing {
 			p.next = max(min(a.Hint+1, p.next-1), p.match+1)
@@ -216,8 +216,8 @@
 	}
 }
 
-// advance commits what a majority of the voters has. Entries of older terms
-// are only committed together with one of the present term.
+// advanceCommit commits what a majority of the voters has. Entries of older terms are only
+// committed together with one of the current term.
 func (n *Node) advanceCommit(now time.Time) {
 	if n.role != Leader {
 		return
@@ -237,7 +237,7 @@
 	}
 	n.commit = matches[i]
 	if n.membersIndex <= n.commit && !n.voter(n.cfg.ID) {
-		n.broadcast(now) // tell the others before leaving
+		n.broadcast(now) // send the commit index to the others before stepping down
 		n.becomeFollower(now, n.hard.Term, "")
 	}
 }
