--- a/wal/fence.go
+++ b/wal/fence.go
@@ -9,13 +9,13 @@
 	"github.com/ledgepin/ledgepin/spread"
 )
 
-// Version returns the fleet's version that the folder was written under.
+// Version returns the fleet version under which the folder was written.
 func (j *Journal) Version() int { return max(j.version, compat.Base) }
 
-// Fence makes builds that don't read a version refuse the folder: the snapshot is written anew
-// under that version's head, and comes before the log when the folder is read. It is called
-// before the first record that needs the version is appended, since a build that does not read
-// that record would pass it over.
+// Fence makes builds that don't support a fleet version refuse the folder: it rewrites the snapshot
+// file, which is read before the log, with the magic number of that version. It must be called
+// before the first record that needs the version is appended, since an older build would skip
+// that record.
 func (j *Journal) Fence(version int) error {
 	if j.failure != nil || version <= j.Version() {
 		return j.failure
--- a/wal/fields_test.go
+++ b/wal/fields_test.go
@@ -11,9 +11,9 @@
 	"github.com/ledgepin/ledgepin/internal/fieldlist"
 )
 
-// TestFields holds the fields of what replicas keep and send against those of the builds in
-// use: none of them changes or goes, and a new one is optional and stands in the list, which
-// is changed by hand (CONTRIBUTING, "Changing a message or a record").
+// TestEncodedFieldsStayCompatible compares the encoded fields of what replicas store with those of
+// the builds in use: no field may change or disappear, and a new one must be optional and be added
+// by hand to testdata/fields.txt (CONTRIBUTING, "Changing a message or a record").
 func TestEncodedFieldsStayCompatible(t *testing.T) {
 	var now []string
 	for _, typ := range []reflect.Type{
--- a/wal/golden_test.go
+++ b/wal/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/ledgepin/ledgepin/wal"
 )
 
-// golden copies a folder that build 55b4ff8 has written.
+// copyGolden copies a folder that build 55b4ff8 wrote.
 func copyGolden(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -19,7 +19,8 @@
 	return dir
 }
 
-// TestGoldenFolders wants what build 55b4ff8 has written to be read as that build reads it.
+// TestReadsFoldersOfOlderBuild requires folders that build 55b4ff8 wrote to be read with the same
+// result as that build reads them.
 func TestReadsFoldersOfOlderBuild(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/wal/newer_build.go
+++ b/wal/newer_build.go
@@ -9,16 +9,16 @@
 	"github.com/ledgepin/ledgepin/compat"
 )
 
-// Newer tells that a record is whole and that this build can't read it: a newer one wrote it.
-// It is no torn tail, since it was synced and may have been acknowledged.
+// NewerBuildError reports an intact record that this build can't decode because a newer build wrote
+// it. Such a record is not a torn tail: it was synced and may have been acknowledged.
 type NewerBuildError struct {
-	// Version is the fleet's version under which it was written; zero if it does not tell.
+	// Version is the fleet version under which the record was written; zero if unknown.
 	Version int
-	// Why is what can't be read.
+	// Err is the reason why the record can't be decoded.
 	Err error
 }
 
-// Error tells the version, or what can't be read.
+// Error returns the version of the record if this build doesn't support it, else the reason.
 func (n *NewerBuildError) Error() string {
 	if n.Version > compat.Newest {
 		return fmt.Sprintf("written by version %d, and this build reads up to %d", n.Version, compat.Newest)
@@ -26,19 +26,19 @@
 	return fmt.Sprintf("written by a newer build: %v", n.Err)
 }
 
-// Unwrap returns what can't be read.
+// Unwrap returns the reason.
 func (n *NewerBuildError) Unwrap() error { return n.Err }
 
-// newer returns the error for the content of a record that can't be read.
+// newerBuildError returns the error for a record whose content can't be decoded.
 func newerBuildError(body []byte, err error) error {
 	var r struct {
 		Version int `cbor:"4,keyasint"`
 	}
-	_ = cbor.Unmarshal(body, &r) // what can't be read at all tells no version
+	_ = cbor.Unmarshal(body, &r) // zero if the content can't be decoded at all
 	return &NewerBuildError{Version: r.Version, Err: err}
 }
 
-// asNewer tells whether an error is that of a newer build's record.
+// isNewerBuild reports whether an error is a NewerBuildError.
 func isNewerBuild(err error) bool {
 	var n *NewerBuildError
 	return errors.As(err, &n)
--- a/wal/snapshot_fuzz_test.go
+++ b/wal/snapshot_fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/ledgepin/ledgepin/wal"
 )
 
-// FuzzSnapshotFile wants a folder with any snapshot file to open and to hold the same under a
-// fence, or to be refused and left as it is.
+// FuzzSnapshotFile requires a folder with any snapshot file either to open, and to have the same
+// state after Fence, or to be refused and left unchanged.
 func FuzzSnapshotFile(f *testing.F) {
 	dir := f.TempDir()
 	j, _, err := wal.Open(dir)
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -13,7 +13,7 @@
 	"github.com/ledgepin/ledgepin/spread"
 )
 
-// File is what the journal needs of an open file. Tests put faults behind it.
+// File is an open log file. Tests replace it to inject disk failures.
 type File interface {
 	io.Writer
 	Sync() error
@@ -21,45 +21,45 @@
 	Close() error
 }
 
-// OpenFile opens the log for appending.
+// OpenFile opens the log file for appending.
 type OpenFile func(path string) (File, error)
 
 func openFile(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// Journal is the disk of one replica.
+// Journal stores the state of one replica in a folder.
 type Journal struct {
 	dir  string
 	open OpenFile
 	file File
 	size int64
-	// version is that of the snapshot file.
+	// version is the fleet version of the snapshot file.
 	version int
-	// broken is set by the first failed write or sync: what the disk holds is
-	// not known any more, so nothing is written again.
+	// failure is the first error of a write or a sync. After it, the content of the disk is not
+	// known, so nothing more is written.
 	failure error
 }
 
-// Opened tells what Open found.
+// OpenResult is what Open found in the folder.
 type OpenResult struct {
 	Restored consensus.Restored
-	// Cut is the number of bytes of a torn tail.
+	// TruncatedBytes is the length of the torn tail that was removed.
 	TruncatedBytes int64
-	// New tells that there was no journal.
+	// New is set if the folder contained no journal.
 	New bool
 }
 
 // Open reads the journal in a folder, which must exist.
 func Open(dir string) (*Journal, OpenResult, error) { return OpenWith(dir, nil) }
 
-// OpenWith is Open with another way to open the log file.
+// OpenWith is like Open, with another function to open the log file.
 func OpenWith(dir string, open OpenFile) (*Journal, OpenResult, error) {
 	return OpenChecked(dir, open, func([]byte) error { return nil })
 }
 
-// OpenChecked is OpenWith for whoever can tell whether the data of the snapshot can be read:
-// a folder that can't be is left as it is.
+// OpenChecked is like OpenWith, for callers that can check whether the data of the snapshot is
+// readable. If readable returns an error, OpenChecked fails and leaves the folder unchanged.
 func OpenChecked(dir string, open OpenFile, readable func(data []byte) error) (*Journal, OpenResult, error) {
 	if open == nil {
 		open = openFile
@@ -90,7 +90,7 @@
 func (j *Journal) logPath() string      { return filepath.Join(j.dir, "control.log") }
 func (j *Journal) snapshotPath() string { return filepath.Join(j.dir, "control.snapshot") }
 
-// start opens the log for appending and cuts a torn tail.
+// openLog opens the log for appending and truncates a torn tail.
 func (j *Journal) openLog(size int64, cut bool) error {
 	file, err := j.open(j.logPath())
 	if err != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// unread returns the error for a file that can't be read.
+// readError returns the error for a file that can't be decoded.
 func (j *Journal) readError(err error, path string) error {
 	if isNewerBuild(err) {
 		return fault.Wrap(err, fault.JournalNewer, fault.StepJournal, path)
@@ -118,7 +118,7 @@
 	return fault.Wrap(err, fault.JournalBroken, fault.StepJournal, path)
 }
 
-// readSnapshot returns the snapshot, or an empty one.
+// readSnapshot returns the snapshot, or an empty one if there is no snapshot file.
 func (j *Journal) readSnapshot(readable func(data []byte) error) (consensus.Snapshot, error) {
 	data, err := os.ReadFile(j.snapshotPath())
 	if errors.Is(err, fs.ErrNotExist) {
@@ -141,8 +141,8 @@
 	return *rec.Snapshot, nil
 }
 
-// Append makes the hard state and entries durable. After a failure the journal
-// refuses everything.
+// Append writes the hard state and entries and syncs them. After a failure, the journal accepts no
+// more writes.
 func (j *Journal) Append(hard *consensus.Hard, entries []consensus.Entry) error {
 	if j.failure != nil {
 		return j.failure
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// Snapshot makes a snapshot durable and drops the log that it covers; hard and
-// entries are what is kept after it.
+// SaveSnapshot writes and syncs a snapshot and drops the log up to it; hard and entries are what
+// the log contains after that.
 func (j *Journal) SaveSnapshot(s consensus.Snapshot, hard consensus.Hard, entries []consensus.Entry) error {
 	if j.failure != nil {
 		return j.failure
@@ -183,8 +183,8 @@
 	if err != nil {
 		return err
 	}
-	// The snapshot first: a log without its snapshot would be useless, a
-	// snapshot with an older log is whole.
+	// The snapshot is written first: a log without its snapshot would be useless, and a
+	// snapshot with an older log is complete.
 	if err := spread.WriteSynced(j.snapshotPath(), snap); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
