--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock is where ledgepin reads the time; no other code of the product does.
+// Package clock provides the time to all other packages of ledgepin, none of which reads a clock
+// itself.
 //
-// A VM may be suspended for seconds. The steady clock of the kernel does not count that
-// time, so a leader or a holder of a lease that went by it would wake up in office. The
-// time of day counts it, and jumps for other reasons too. So all ages, leases, locks,
-// windows and deadlines go by Now, which is steady and counts suspension.
+// A VM may be suspended for seconds. The kernel's monotonic clock doesn't count that time, so after
+// the suspension a leader or a lease holder that used it would consider itself still in office. The
+// wall clock counts it, but also jumps for other reasons. So all ages, leases, locks, windows and
+// deadlines use Now, which is monotonic and counts suspension.
 package clock
 
 import (
@@ -15,32 +16,33 @@
 
 // Source reads the clocks of a VM.
 type Source struct {
-	// Read returns the steady time since some moment, and the time of day in Unix
-	// nanoseconds.
+	// Read returns the monotonic time since some moment, and the wall time in Unix nanoseconds.
 	Read func() (monotonic time.Duration, wall int64)
-	// Boot returns the steady time that counts suspension, since some moment.
+	// BootTime returns the monotonic time since some moment, including suspension.
 	BootTime func() (time.Duration, error)
 }
 
-// Clock tells the time. A nil Clock is the one of the VM. It is safe for concurrent use.
+// Clock is a monotonic clock that counts suspension. A nil Clock is the clock of this VM. It is
+// safe for concurrent use.
 type Clock struct {
 	source Source
-	// epoch is the time of day at the start, without a reading of the steady clock, so
-	// that differences between times of this clock are its own.
+	// epoch is the wall time at the start, without a monotonic reading, so that the difference of
+	// two times is computed from this clock only.
 	epoch          time.Time
 	startMonotonic time.Duration
 	startBootTime  time.Duration
 	startWall      int64
-	// shift is how far the time of day had moved against the steady clock at the newest
-	// look, away the time of which the steady clock did not know.
+	// shift is the change of the wall time relative to the monotonic clock at the last
+	// measurement. suspended is the time that the monotonic clock didn't count. Both are in
+	// nanoseconds.
 	shift, suspended atomic.Int64
 }
 
-// noticed is the least move of the time of day against the steady clock that is looked
-// into: the adjustment of a clock moves it by half a millisecond in a second at most.
+// minShift is the smallest change of the wall time relative to the monotonic clock that causes a
+// measurement. Clock adjustment changes it by at most half a millisecond a second.
 const minShift = 5 * time.Millisecond
 
-// New returns a clock.
+// New returns a clock that reads s.
 func New(s Source) *Clock {
 	c := &Clock{source: s}
 	c.startMonotonic, c.startWall = s.Read()
@@ -72,10 +74,10 @@
 	return c
 }
 
-// Now returns the time, for differences. It looks like a time of day, which it was when the
-// process began. It costs as much as time.Now: the clock that counts suspension, a system
-// call, is read only when the time of day has moved against the steady one, as it does when
-// a VM wakes up.
+// Now returns the time, for differences. Its value is the wall time at which the process started
+// plus the time since then. It costs as much as time.Now: the clock that counts suspension, which
+// needs a system call, is read only when the wall time has shifted relative to the monotonic
+// clock, as it does when a VM resumes.
 func (c *Clock) Now() time.Time {
 	c = c.orVM()
 	monotonic, wall := c.source.Read()
@@ -89,8 +91,8 @@
 	return c.epoch.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
-// look finds out how much of the time the VM was suspended. A kernel that does not tell
-// leaves it as it was: the time of day may have jumped for other reasons.
+// measureSuspension updates the time for which the VM was suspended. If the kernel can't report it,
+// the value stays, since the wall time may have jumped for other reasons.
 func (c *Clock) measureSuspension(shift int64) {
 	if boot, err := c.source.BootTime(); err == nil {
 		monotonic, _ := c.source.Read()
@@ -99,15 +101,15 @@
 	c.shift.Store(shift)
 }
 
-// Since returns the time since t, which is of this clock.
+// Since returns the time elapsed since t, a time of this clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time until t, which is of this clock.
+// Until returns the time remaining until t, a time of this clock.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Day returns the time of day, for people and for documents only.
+// WallTime returns the wall time, only for display and for documents.
 func WallTime() time.Time { return time.Now() }
 
-// Deadline returns the moment after a while, for the deadlines of connections, which the
-// runtime takes by its own clock.
+// Deadline returns the wall time after d, for deadlines of connections, which the runtime compares
+// with its own clock.
 func Deadline(d time.Duration) time.Time { return time.Now().Add(d) }
