--- a/settings/check.go
+++ b/settings/check.go
@@ -11,11 +11,10 @@
 	"github.com/ledgepin/ledgepin/strict"
 )
 
-// MaxBytes bounds the text of a tree.
+// MaxBytes is the largest size of the text of a tree.
 const MaxBytes = 8 << 20
 
-// Parse reads and checks a tree. The error lists each problem with file, line
-// and path.
+// Parse reads and checks a tree. The error lists each problem with file, line and path.
 func Parse(file string, data []byte) (*Tree, error) {
 	if len(data) > MaxBytes {
 		return nil, strict.Problems{{File: file, Path: ".", Want: fmt.Sprintf("at most %d bytes", MaxBytes)}}
@@ -29,13 +28,13 @@
 	return t, c.problems.Err()
 }
 
-// checker looks for names that point nowhere and addresses that are not IP
-// numbers. These checks span levels, so they have no single line.
+// checker looks for references to names that don't exist and for addresses that are not IP numbers
+// with a port. These checks span levels of the tree, so their problems have no single line.
 type checker struct {
 	file     string
 	tree     *Tree
 	problems strict.Problems
-	// votes maps each server of a claim group to its service.
+	// groupOf maps each server of a claim group to the service of the group.
 	groupOf map[string]string
 }
 
--- a/settings/delta.go
+++ b/settings/delta.go
@@ -13,19 +13,19 @@
 // Sum is the hash of the text of a tree.
 type Sum [sha256.Size]byte
 
-// Delta turns the text of one tree into the text of the next one by replacing
-// the middle between a common start and a common end.
+// Delta turns the text of one tree into the text of the next one by replacing what lies between a
+// common prefix and a common suffix.
 type Delta struct {
-	// Base is the hash of the text that the delta applies to.
+	// Base is the hash of the text to which the delta applies.
 	Base Sum `cbor:"1,keyasint"`
-	// Head and Tail are the lengths of the common start and end, in bytes.
+	// Head and Tail are the lengths of the common prefix and suffix, in bytes.
 	Head int `cbor:"2,keyasint"`
 	Tail int `cbor:"3,keyasint"`
 	// Middle is the new text between them.
 	Middle []byte `cbor:"4,keyasint"`
 }
 
-// MakeDelta returns the delta from one text to another.
+// NewDelta returns the delta from one text to another.
 func NewDelta(from, to []byte) Delta {
 	minLen := min(len(from), len(to))
 	head := 0
@@ -39,10 +39,10 @@
 	return Delta{Base: sha256.Sum256(from), Head: head, Tail: tail, Middle: to[head : len(to)-tail]}
 }
 
-// ErrBase tells that a delta does not belong to the text at hand.
-var ErrDeltaBase = errors.New("settings: the delta is for another text")
+// ErrDeltaBase reports that a delta was made for another text.
+var ErrDeltaBase = errors.New("settings: delta was made for another text")
 
-// Apply returns the new text, or ErrBase if d does not fit.
+// Apply returns the new text, or ErrDeltaBase if d was not made for from.
 func (d Delta) Apply(from []byte) ([]byte, error) {
 	if d.Base != sha256.Sum256(from) || d.Head < 0 || d.Tail < 0 || d.Head > len(from)-d.Tail {
 		return nil, ErrDeltaBase
--- a/settings/diff.go
+++ b/settings/diff.go
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("~ %s: %s -> %s", e.Path, e.Before, e.After)
 }
 
-// Diff lists the values that differ, in the order of their paths.
+// Diff lists the values that differ, ordered by path.
 func Diff(before, after *Tree) ([]Edit, error) {
 	a, err := flatten(before)
 	if err != nil {
--- a/settings/edit_fuzz_test.go
+++ b/settings/edit_fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// FuzzDelta feeds the changes of settings that processes send each other any numbers and
-// texts, and wants the one that is made of two texts to lead from one to the other.
+// FuzzDelta applies deltas, which processes send each other, with any numbers and texts, and
+// requires the delta from one text to another to give the second text.
 func FuzzDelta(f *testing.F) {
 	f.Add([]byte("a: 1\nb: 2\n"), []byte("a: 1\nb: 3\n"), 3, 4)
 	f.Add([]byte(""), []byte("x"), -1, 1<<62)
@@ -26,7 +26,7 @@
 	})
 }
 
-// FuzzSet feeds the change of one value any text, path and value.
+// FuzzSet requires Set to survive any text, path and value.
 func FuzzSet(f *testing.F) {
 	data, err := os.ReadFile("testdata/tree.yaml")
 	assert.NilError(f, err)
--- a/settings/effective.go
+++ b/settings/effective.go
@@ -7,10 +7,10 @@
 	"github.com/ledgepin/ledgepin/strict"
 )
 
-// Level names the place in the tree that a value comes from.
+// Level is a level of the tree; it names the one from which a value comes.
 type Level string
 
-// The levels, the lowest last.
+// The levels, from the highest to the lowest.
 const (
 	LevelDefault Level = "default"
 	LevelFleet   Level = "fleet"
@@ -19,7 +19,7 @@
 	LevelModel   Level = "model"
 )
 
-// Effective is Limits with every value set.
+// Effective holds the limits in force at a level: Limits with every value set.
 type Effective struct {
 	MaxPromptTokens int
 	MaxOutputTokens int
@@ -34,7 +34,7 @@
 	WeightRate      int64
 }
 
-// Defaults are the limits above the fleet.
+// DefaultLimits returns the limits that the fleet level inherits.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxPromptTokens: ptr(131072),
@@ -58,7 +58,7 @@
 	limits Limits
 }
 
-// layers lists the levels above a place, the highest first. Names that are
+// layers lists the limits of each level down to the named one, the highest first. Names that are
 // empty or not in the tree add no layer.
 func (t *Tree) layers(site, pool, model string) []layer {
 	out := []layer{{LevelDefault, DefaultLimits()}, {LevelFleet, t.Fleet.Limits}}
@@ -78,7 +78,8 @@
 	return out
 }
 
-// At returns the limits in force at a place. Empty names stop at that level.
+// EffectiveAt returns the limits in force for a site, pool and model. An empty name ends the
+// inheritance at the level above.
 func (t *Tree) EffectiveAt(site, pool, model string) Effective {
 	var e Effective
 	for _, l := range t.layers(site, pool, model) {
@@ -107,14 +108,14 @@
 	}
 }
 
-// Value is one limit in force, with the level that it comes from.
+// Value is a limit in force, with the level from which it comes.
 type Value struct {
 	Name  string
 	Value string
 	From  Level
 }
 
-// Explain lists the limits in force at a place and where each comes from.
+// Explain lists the limits in force for a site, pool and model, with the level of each.
 func (t *Tree) Explain(site, pool, model string) []Value {
 	var out []Value
 	at := map[string]int{}
--- a/settings/lookup.go
+++ b/settings/lookup.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Placed is a server with its place in the tree.
+// PlacedServer is a server with its position in the tree and the limits that apply to it.
 type PlacedServer struct {
 	Name, Agent       string
 	Site, Pool        string
@@ -18,7 +18,7 @@
 	KVHold, LeaseTime time.Duration
 }
 
-// Servers lists all servers in the order of their names within each pool.
+// Servers lists all servers, ordered by site, pool and name.
 func (t *Tree) Servers() []PlacedServer {
 	var out []PlacedServer
 	for _, site := range sorted(t.Fleet.Sites) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Server finds a server by name.
+// Server returns the server with a name, and whether it exists.
 func (t *Tree) Server(name string) (PlacedServer, bool) {
 	for site, s := range t.Fleet.Sites {
 		for pool, p := range s.Pools {
@@ -56,7 +56,7 @@
 	return PlacedServer{}, false
 }
 
-// Grant is what a token lets its bearer do.
+// Grant is what a token permits its bearer.
 type Grant struct {
 	// Customer is the name of the organisation.
 	Customer string
@@ -75,19 +75,19 @@
 	return out
 }
 
-// HashToken returns the hash of a token as it stands in the settings.
+// HashToken returns the hash of a token as the settings contain it.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// DefaultClaimLifetime is how long keys are kept if the service does not say.
+// DefaultClaimLifetime is the time for which keys are kept if the service sets none.
 const DefaultClaimLifetime = 24 * time.Hour
 
-// DefaultTimeout bounds a call of a service that does not say.
+// DefaultTimeout is the timeout of one call if the service sets none.
 const DefaultTimeout = 10 * time.Second
 
-// ClaimLifetimeOrDefault returns how long a key of the service is kept.
+// ClaimLifetimeOrDefault returns the time for which a key of the service is kept.
 func (s Service) ClaimLifetimeOrDefault() time.Duration {
 	if s.ClaimLifetime > 0 {
 		return s.ClaimLifetime.D()
@@ -95,7 +95,7 @@
 	return DefaultClaimLifetime
 }
 
-// TimeoutOrDefault returns the bound of one call.
+// TimeoutOrDefault returns the timeout of one call.
 func (s Service) TimeoutOrDefault() time.Duration {
 	if s.Timeout > 0 {
 		return s.Timeout.D()
@@ -103,5 +103,5 @@
 	return DefaultTimeout
 }
 
-// ShareOrOne returns the weight of the customer.
+// ShareOrOne returns the weight of the customer against other customers.
 func (c Customer) ShareOrOne() int { return max(c.Share, 1) }
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -2,37 +2,37 @@
 
 import "github.com/ledgepin/ledgepin/strict"
 
-// Tree is the whole of the settings.
+// Tree holds all settings of the fleet.
 type Tree struct {
 	// Fleet is the root of the tree.
 	Fleet Fleet `yaml:"fleet" check:"required"`
 }
 
-// Limits are the values that each level inherits from the one above. A nil
-// value is inherited.
+// Limits are the values that each level inherits from the level above. A nil value is inherited.
 type Limits struct {
-	// MaxPromptTokens bounds a prompt; longer ones are refused.
+	// MaxPromptTokens is the longest prompt; longer ones are refused.
 	MaxPromptTokens *int `yaml:"max_prompt_tokens,omitempty" check:"min=1,max=10000000"`
-	// MaxOutputTokens bounds the answer; a larger wish is lowered to it.
+	// MaxOutputTokens is the longest answer; a request for more is lowered to it.
 	MaxOutputTokens *int `yaml:"max_output_tokens,omitempty" check:"min=1,max=1000000"`
-	// QueueLimit bounds the requests that wait at one entry.
+	// QueueLimit is the largest number of requests that wait at one entry.
 	QueueLimit *int `yaml:"queue_limit,omitempty" check:"min=1,max=1000000"`
-	// OpenLimit bounds the open requests that one customer may have in the
-	// fleet for each unit of its share.
+	// OpenLimit is the largest number of open requests of one customer in the fleet, for each
+	// unit of its share.
 	OpenLimit *int `yaml:"open_limit,omitempty" check:"min=1,max=1000000"`
-	// RetryPercent bounds retries to this share of live traffic.
+	// RetryPercent is the largest share of retries, in percent of the live traffic.
 	RetryPercent *int `yaml:"retry_percent,omitempty" check:"min=0,max=100"`
-	// LeaseTime is how long a slot outlives the silence of its entry.
+	// LeaseTime is the time after the last contact with an entry for which its slots stay
+	// reserved.
 	LeaseTime *strict.Duration `yaml:"lease_time,omitempty" check:"min=100000000,max=60000000000"`
-	// KVHold is how long an engine keeps the result of a prefill.
+	// KVHold is the time for which an engine keeps the result of a prefill.
 	KVHold *strict.Duration `yaml:"kv_hold,omitempty" check:"min=100000000,max=600000000000"`
-	// StallAfter is the silence after which a transfer is given up.
+	// StallAfter is the time without progress after which a transfer is aborted.
 	StallAfter *strict.Duration `yaml:"stall_after,omitempty" check:"min=50000000,max=60000000000"`
 	// LinkRate is the rate of a server's link for transfers, in bytes a second.
 	LinkRate *strict.Bytes `yaml:"link_rate,omitempty" check:"min=1000000"`
-	// Slots bounds the decode slots of one server that are used.
+	// Slots is the largest number of decode slots of one server that are used.
 	Slots *int `yaml:"slots,omitempty" check:"min=1,max=10000"`
-	// WeightRate is the rate of the weight store that one site may use.
+	// WeightRate is the rate at which one site may read from the weight store, in bytes a second.
 	WeightRate *strict.Bytes `yaml:"weight_rate,omitempty" check:"min=1000000"`
 }
 
@@ -51,7 +51,7 @@
 type Model struct {
 	// Version is the version that its servers must run.
 	Version string `yaml:"version" check:"required"`
-	// Adapters are loaded beside the model.
+	// Adapters are loaded together with the model.
 	Adapters []string `yaml:"adapters,omitempty"`
 	// Weights is the size of the model in the weight store.
 	Weights strict.Bytes `yaml:"weights" check:"required"`
@@ -59,20 +59,19 @@
 	KVPerToken strict.Bytes `yaml:"kv_per_token" check:"required"`
 }
 
-// Class describes a kind of request and its targets.
+// Class describes a kind of request and its latency targets.
 type Class struct {
-	// Priority orders the classes; 0 comes first.
+	// Priority orders the classes; 0 is the highest priority.
 	Priority int `yaml:"priority" check:"min=0,max=9"`
 	// TTFT is the target for the time to the first token.
 	TTFT strict.Duration `yaml:"ttft" check:"required,min=1000000,max=3600000000000"`
 	// TBT is the target for the time between tokens.
 	TBT strict.Duration `yaml:"tbt" check:"required,min=1000000,max=60000000000"`
-	// KeepWhenGone lets the work go on after its caller has left.
+	// KeepWhenGone is set if requests continue after their caller has disconnected.
 	KeepWhenGone bool `yaml:"keep_when_gone,omitempty"`
-	// Once makes each Idempotency-Key run at most once.
+	// Once is set if requests with the same Idempotency-Key run at most once.
 	Once bool `yaml:"once,omitempty"`
-	// ClaimGroup names the service whose claim group keeps the keys; it is
-	// required if Once is set.
+	// ClaimGroup is the service whose claim group keeps the keys; required if Once is set.
 	ClaimGroup string `yaml:"claim_group,omitempty"`
 }
 
@@ -80,13 +79,13 @@
 type Customer struct {
 	// Home is the site that keeps the customer's claims.
 	Home string `yaml:"home,omitempty"`
-	// Share weighs the customer against others; 1 if not given.
+	// Share is the weight of the customer against others; 1 if not set.
 	Share int `yaml:"share,omitempty" check:"min=1,max=1000"`
-	// Tokens are what its callers present.
+	// Tokens are the bearer tokens of the customer's callers.
 	Tokens []Token `yaml:"tokens,omitempty"`
 }
 
-// Token lets a caller in as a customer with a class.
+// Token authenticates a caller as one of a customer, with a class.
 type Token struct {
 	// SHA256 is the hash of the bearer token, in lower-case hex.
 	SHA256 string `yaml:"sha256" check:"required"`
@@ -94,19 +93,19 @@
 	Class string `yaml:"class" check:"required"`
 }
 
-// Service is a plain HTTP service behind the system.
+// Service is a plain HTTP service behind ledgepin.
 type Service struct {
 	// Once lists the path prefixes whose calls may not be repeated.
 	Once []string `yaml:"once,omitempty"`
-	// Timeout bounds one call.
+	// Timeout is the timeout of one call.
 	Timeout strict.Duration `yaml:"timeout,omitempty" check:"min=1000000,max=600000000000"`
-	// ClaimLifetime is how long a key and its answer are kept.
+	// ClaimLifetime is the time for which a key and its answer are kept.
 	ClaimLifetime strict.Duration `yaml:"claim_lifetime,omitempty" check:"min=1000000000,max=604800000000000"`
 	// ClaimGroup lists, for each home site, the servers whose agents vote.
 	ClaimGroup map[string][]string `yaml:"claim_group,omitempty"`
 }
 
-// Site is a place with its own link to the rest of the fleet.
+// Site is a location with its own link to the rest of the fleet.
 type Site struct {
 	Limits `yaml:",inline"`
 	Region string          `yaml:"region,omitempty"`
@@ -138,16 +137,16 @@
 	Limits `yaml:",inline"`
 }
 
-// Server is a backend server and the address of the agent beside it.
+// Server is a backend server with the address of its agent.
 type Server struct {
 	// Agent is the IP number and port of the agent.
 	Agent string `yaml:"agent" check:"required"`
 }
 
-// Control is a replica of the replicated log.
+// Control is a replica of the replicated log of control.
 type Control struct {
 	// Address is the IP number and port of its links.
 	Address string `yaml:"address" check:"required"`
-	// Zone is the availability zone that it stands in.
+	// Zone is its availability zone.
 	Zone string `yaml:"zone" check:"required"`
 }
