--- a/strict/strict.go
+++ b/strict/strict.go
@@ -1,8 +1,8 @@
-// Package strict decodes YAML and refuses what the target type does not know.
+// Package strict decodes YAML and refuses keys and values that the target type doesn't allow.
 //
-// The YAML library reports unknown keys without their path and has no ranges.
-// Operators need the file, the line, the path and what was expected, so this
-// package walks the node tree beside the Go type before it decodes.
+// The YAML library reports unknown keys without their path and can't check ranges. Operators need
+// the file, the line, the path and what was expected, so this package compares the node tree with
+// the Go type before it decodes.
 package strict
 
 import (
@@ -17,19 +17,19 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Problem is one thing that is wrong with a YAML file.
+// Problem is one error in a YAML file.
 type Problem struct {
-	// File is the name given to Decode.
+	// File is the name passed to Decode.
 	File string
-	// Line counts from 1; zero if the problem has no line.
+	// Line starts at 1; zero if the problem has no line.
 	Line int
 	// Path is the dotted path of the value.
 	Path string
-	// Want tells what was expected.
+	// Want describes what was expected.
 	Want string
 }
 
-// Error returns the problem as one line.
+// Error returns the problem on one line.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Want)
 }
@@ -37,7 +37,7 @@
 // Problems is a list of problems; it is an error if it is not empty.
 type Problems []Problem
 
-// Error returns all problems, a line each.
+// Error returns all problems, one a line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -56,9 +56,9 @@
 
 const maxProblems = 50
 
-// Decode reads one YAML document from data into out, a pointer to a struct.
-// A field tag `check:"min=1,max=9,oneof=a|b,required"` bounds a value. The
-// returned error is of type Problems.
+// Decode reads one YAML document from data into out, a pointer to a struct. A field tag
+// `check:"min=1,max=9,oneof=a|b,required"` restricts a value. The returned error is of type
+// Problems.
 func Decode(file string, data []byte, out any) error {
 	var doc yaml.Node
 	dec := yaml.NewDecoder(bytes.NewReader(data))
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// yamlLine digs the line number out of an error of the YAML library.
+// yamlLine returns the line number in an error of the YAML library, or 1 if it has none.
 func yamlLine(err error) int {
 	_, rest, ok := strings.Cut(err.Error(), "line ")
 	if !ok {
@@ -132,7 +132,7 @@
 	}
 }
 
-// custom checks a type that decodes itself; ranges apply to its integer value.
+// custom checks a type that decodes itself; min and max apply to its integer value.
 func (w *walker) custom(n *yaml.Node, t reflect.Type, path, check string) {
 	v := reflect.New(t)
 	if err := v.Interface().(yaml.Unmarshaler).UnmarshalYAML(n); err != nil {
@@ -266,7 +266,7 @@
 	return true
 }
 
-// fieldsOf returns the YAML fields of a struct type, inline ones included.
+// fieldsOf returns the fields of a struct type by YAML key, including inline ones.
 func fieldsOf(t reflect.Type) map[string]reflect.StructField {
 	out := map[string]reflect.StructField{}
 	for i := range t.NumField() {
@@ -285,7 +285,7 @@
 	return out
 }
 
-// names lists the keys of a struct type in the order of its fields.
+// keyList lists the YAML keys of a struct type in the order of its fields.
 func keyList(t reflect.Type) string {
 	var out []string
 	for i := range t.NumField() {
--- a/strict/types.go
+++ b/strict/types.go
@@ -32,7 +32,7 @@
 // String returns the duration with its unit.
 func (d Duration) String() string { return d.D().String() }
 
-// Bytes is a count of bytes, or of bytes a second, written like "2GB" in YAML.
+// Bytes is a number of bytes, or of bytes a second, written like "2GB" in YAML.
 type Bytes int64
 
 var byteUnits = []struct {
@@ -40,7 +40,7 @@
 	size   int64
 }{{"TB", 1e12}, {"GB", 1e9}, {"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
-// UnmarshalYAML reads a count with its unit.
+// UnmarshalYAML reads a number with its unit.
 func (b *Bytes) UnmarshalYAML(n *yaml.Node) error {
 	for _, u := range byteUnits {
 		num, ok := strings.CutSuffix(n.Value, u.suffix)
@@ -57,10 +57,10 @@
 	return errors.New(`want a whole count with its unit, like "2GB"`)
 }
 
-// MarshalYAML writes the count with the largest unit that keeps it whole.
+// MarshalYAML writes the number with the largest unit of which it is a multiple.
 func (b Bytes) MarshalYAML() (any, error) { return b.String(), nil }
 
-// String returns the count with the largest unit that keeps it whole.
+// String returns the number with the largest unit of which it is a multiple.
 func (b Bytes) String() string {
 	for _, u := range byteUnits {
 		if int64(b) >= u.size && int64(b)%u.size == 0 {
