--- a/config/check.go
+++ b/config/check.go
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/strict"
 )
 
-// checker gathers what is wrong with a file.
+// checker collects the problems of a file that strict.Decode doesn't find.
 type checker struct {
 	path     string
 	file     *File
@@ -19,7 +19,7 @@
 	c.problems = append(c.problems, strict.Problem{File: c.path, Line: 1, Path: path, Want: fmt.Sprintf(format, args...)})
 }
 
-// roles wants the part of each role, and no other.
+// checkRoles requires a section for each role of the process, and for no other role.
 func (c *checker) checkRoles() {
 	has := map[string]bool{RoleEntry: c.file.Entry != nil, RoleAgent: c.file.Agent != nil, RoleControl: c.file.Control != nil, RoleGateway: c.file.Gateway != nil}
 	named := map[string]bool{}
@@ -102,7 +102,7 @@
 	}
 }
 
-// tokens wants a token where a listener can be reached from other VMs.
+// checkTokens requires a token for each listener that other VMs can reach.
 func (c *checker) checkTokens() {
 	if c.file.Tokens.Operators == "" && !isLoopback(c.file.Operators) {
 		c.report("operators", "want a loopback address, or a token file in tokens.operators")
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -14,7 +14,7 @@
 	"github.com/ledgepin/ledgepin/config"
 )
 
-// TestExamples checks every settings file of a process that ships.
+// TestExampleFilesAreValid loads every configuration file of the examples.
 func TestExampleFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/process/*.yaml")
 	assert.NilError(t, err)
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestRefused reads each file of testdata; its first line tells what the
-// refusal must say.
+// TestInvalidFilesAreRefused parses each file of testdata; its first line is the text that the
+// error must contain.
 func TestInvalidFilesAreRefused(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	assert.NilError(t, err)
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestUpgradeAfter wants the time after which the fleet's version rises to be optional, and
-// zero to be another thing than none.
+// TestUpgradeAfterDefaultAndZero requires the time after which the fleet version rises to be
+// optional, and zero to differ from a missing value.
 func TestUpgradeAfterDefaultAndZero(t *testing.T) {
 	const file = "name: a\nzone: z\noperators: 127.0.0.1:8081\ndata: d\nroles: [control]\n" +
 		"control: {links: \"127.0.0.1:1\", members: {a: \"127.0.0.1:1\"}%s}\n"
@@ -83,7 +83,7 @@
 	assert.Equal(t, got, "")
 }
 
-// TestHeld wants what a file leaves out of the bounds of what is held to be the default.
+// TestHeldMemoryDefaults requires missing limits on held memory to be set to the defaults.
 func TestHeldMemoryDefaults(t *testing.T) {
 	const file = "name: a\nzone: z\noperators: 127.0.0.1:8081\nroles: [gateway]\n" +
 		"gateway: {callers: \"127.0.0.1:1\", ready: \"127.0.0.1:2\", seeds: [\"127.0.0.1:3\"], links_port: 4%s}\n"
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/ledgepin/ledgepin/config"
 )
 
-// FuzzParse feeds the reader of a process's file any text.
+// FuzzParse requires Parse to survive any text and to return only valid values.
 func FuzzParse(f *testing.F) {
 	for _, pattern := range []string{"../deploy/*.yaml", "../examples/*.yaml", "../examples/*/*.yaml", "testdata/*.yaml"} {
 		files, err := filepath.Glob(pattern)
--- a/config/logger.go
+++ b/config/logger.go
@@ -10,8 +10,8 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// Logger returns the logger that the file asks for. It never holds up who logs;
-// flush writes what waits at the end of the process.
+// Logger returns the logger that the file configures. Logging never blocks; flush writes the
+// queued lines when the process ends.
 func (l Log) Logger() (log *slog.Logger, flush func()) {
 	var level slog.Level
 	if l.Level != "" {
@@ -29,5 +29,5 @@
 	return log, func() { q.Close(flushTimeout) }
 }
 
-// flushTime bounds how long the end of a process waits for its log.
+// flushTimeout bounds the time for which the end of a process waits for its log.
 const flushTimeout = 300 * time.Millisecond
--- a/config/secrets.go
+++ b/config/secrets.go
@@ -10,10 +10,10 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// minToken is the least length of a bearer token, in characters.
+// minTokenChars is the minimum length of a bearer token.
 const minTokenChars = 16
 
-// ReadToken reads a bearer token from a file; no file gives no token.
+// ReadToken reads a bearer token from a file; an empty path gives an empty token.
 func ReadToken(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -29,7 +29,7 @@
 	return token, nil
 }
 
-// Load returns the TLS settings for listeners and for links; nil for plain TCP.
+// Load returns the TLS configurations of listeners and of links; nil for plain TCP.
 func (t *TLS) Load() (server, client *tls.Config, err error) {
 	if t == nil {
 		return nil, nil, nil
@@ -47,7 +47,7 @@
 	return server, client, nil
 }
 
-// ReadCA reads the certificates that peers' certificates are checked against.
+// ReadCA reads the certificates against which those of peers are checked.
 func ReadCA(path string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(path)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fault.New(fault.InvalidConfig, fault.StepConfig, path, "no certificate in PEM")
+		return nil, fault.New(fault.InvalidConfig, fault.StepConfig, path, "the file contains no PEM certificate")
 	}
 	return pool, nil
 }
