--- a/consensus/decode.go
+++ b/consensus/decode.go
@@ -11,7 +11,8 @@
 // sends them to. An entry that can't be decoded is marked and doesn't end the decoding of its
 // packet, since a single packet must not close the link on which it arrived.
 
-// UnmarshalCBOR decodes an entry. If it has an unknown field, only DecodeErr is set.
+// UnmarshalCBOR decodes an entry. If any part of it is unknown or can't be decoded, only DecodeErr
+// is set.
 func (e *Entry) UnmarshalCBOR(data []byte) error {
 	type plain Entry
 	if err := exact.Unmarshal(data, (*plain)(e)); err != nil {
@@ -20,7 +21,8 @@
 	return nil
 }
 
-// UnmarshalCBOR decodes a snapshot. If it has an unknown field, only DecodeErr is set.
+// UnmarshalCBOR decodes a snapshot. If any part of it is unknown or can't be decoded, only
+// DecodeErr is set.
 func (s *Snapshot) UnmarshalCBOR(data []byte) error {
 	type plain Snapshot
 	if err := exact.Unmarshal(data, (*plain)(s)); err != nil {
@@ -43,7 +45,7 @@
 	return nil
 }
 
-// StopAt reports to the node that the command at an index that Ready has returned can't be applied
+// StopAt stops the replica because the command at an index that Ready has returned can't be applied
 // here. That command and all after it count as not applied, and the replica sends no packets and
 // grants no votes from now on.
 func (n *Node) StopAt(index uint64) {
--- a/consensus/idle.go
+++ b/consensus/idle.go
@@ -26,7 +26,8 @@
 	return now.Add(interval/2 + time.Duration(n.rng.Int64N(int64(max(interval, 1)))))
 }
 
-// recordIdle records that a voter reports itself idle in the current round of pre-votes.
+// recordIdle records that a voter reports itself idle in the current round of pre-votes, and
+// whether it would grant its vote.
 func (n *Node) recordIdle(p Packet) {
 	if p.Kind == PreVoted && n.role == PreCandidate && p.Seq == n.preRound && p.Idle {
 		n.idleVoters[p.From] = p.Fits
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -137,7 +137,7 @@
 		n.members = r.Snapshot.Members
 	}
 	n.findMembers(n.members)
-	// The replica may have acknowledged a leader just before it went down, whose lease is still live.
+	// The replica may have acknowledged a leader just before it went down, and the lease of that leader may be live.
 	n.lastLeaderContact = now
 	n.idle = true
 	n.resetElection(now)
