--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,10 +1,10 @@
-// Package clock provides the time to all other packages of ledgepin, none of which reads a clock
+// Package clock provides the time to all packages of the product, none of which reads a clock
 // itself.
 //
 // A VM may be suspended for seconds. The kernel's monotonic clock doesn't count that time, so after
-// the suspension a leader or a lease holder that used it would consider itself still in office. The
-// wall clock counts it, but also jumps for other reasons. So all ages, leases, locks, windows and
-// deadlines use Now, which is monotonic and counts suspension.
+// the suspension a leader or a lease holder that used it would still act as one. The wall clock
+// counts it, but also jumps for other reasons. So all ages, leases, locks, windows and deadlines
+// use Now, which is monotonic and counts suspension.
 package clock
 
 import (
