--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// BenchmarkServers lists the servers of a tree of the largest supported size.
+// BenchmarkServers lists the servers of a tree of the size for which the system is designed.
 func BenchmarkServers(b *testing.B) {
 	var text strings.Builder
 	text.WriteString("fleet:\n  sites:\n")
