--- a/config/config.go
+++ b/config/config.go
@@ -134,8 +134,9 @@
 }
 
 // DefaultUpgradeAfter is used if the file sets no time. It equals DefaultDrain: for that time, the
-// last process of the old build may still be ending its streams, so that the new build has not yet
-// done all of the work. Until the version rises, a rollback only needs a start of the old build.
+// last process of the old build may still be ending its streams, and only after it has the new
+// build been observed doing all of the work. Until the version rises, a rollback needs no more than
+// starting the old build again.
 const DefaultUpgradeAfter = DefaultDrain
 
 // AfterOrDefault returns After, or DefaultUpgradeAfter if it is not set.
