--- a/control/apply.go
+++ b/control/apply.go
@@ -82,7 +82,7 @@
 // updateHub passes the state that gateways follow to the hub. The evacuated zones go before
 // the table, since a gateway starts to serve as soon as it has its first table.
 func (c *Control) updateHub(current bool) {
-	c.hub.setEvacuated(c.state.Evacuations(), c.state.Evacuated())
+	c.hub.setEvacuated(c.state.EvacuationRevision(), c.state.EvacuatedZones())
 	c.hub.setTable(c.state.Table(), current)
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -210,7 +210,7 @@
 	if c.cfg.Dir == "" {
 		return nil, consensus.Restored{}, true, nil
 	}
-	j, o, err := wal.OpenChecked(c.cfg.Dir, c.cfg.OpenFile, fleet.ReadableSnapshot)
+	j, o, err := wal.OpenChecked(c.cfg.Dir, c.cfg.OpenFile, fleet.CheckSnapshot)
 	if err != nil {
 		if !fault.Is(err, fault.JournalNewer) {
 			event.JournalBroken.Log(c.log, "error", fault.From(err))
--- a/control/dump.go
+++ b/control/dump.go
@@ -56,7 +56,7 @@
 func (c *Control) Dump() any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := Dump{Name: c.cfg.Name, ID: c.id, Revision: c.state.Revision(), Version: c.state.Version(), Evacuated: c.state.Evacuated()}
+	d := Dump{Name: c.cfg.Name, ID: c.id, Revision: c.state.Revision(), Version: c.state.Version(), Evacuated: c.state.EvacuatedZones()}
 	if c.node != nil {
 		d.Log = c.node.Status(c.clock.Now())
 	}
@@ -90,5 +90,5 @@
 	defer c.mu.Unlock()
 	metric.FleetVersion.WithLabelValues(c.cfg.Name).Set(float64(c.state.Version()))
 	metric.Revision.WithLabelValues(c.cfg.Name).Set(float64(c.state.Revision()))
-	metric.Evacuated.WithLabelValues(c.cfg.Name).Set(float64(len(c.state.Evacuated())))
+	metric.Evacuated.WithLabelValues(c.cfg.Name).Set(float64(len(c.state.EvacuatedZones())))
 }
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -93,7 +93,7 @@
 	if !c.isCurrent(c.clock.Now()) {
 		return nil, c.notLeader()
 	}
-	return c.state.Evacuated(), nil
+	return c.state.EvacuatedZones(), nil
 }
 
 // knowsZone reports whether the deployment has an availability zone: according to the
--- a/control/unreadable.go
+++ b/control/unreadable.go
@@ -58,7 +58,7 @@
 	}
 	for i := range p.Entries {
 		if e := &p.Entries[i]; len(e.Data) > 0 {
-			if err := fleet.Readable(e.Data); err != nil {
+			if err := fleet.CheckCommand(e.Data); err != nil {
 				return fmt.Errorf("entry %d: %w", e.Index, err)
 			}
 		}
@@ -66,7 +66,7 @@
 	if p.Snapshot == nil {
 		return nil
 	}
-	return fleet.ReadableSnapshot(p.Snapshot.Data)
+	return fleet.CheckSnapshot(p.Snapshot.Data)
 }
 
 // rejectPacket records that a packet can't be read. The leader that sent it gets no answer;
--- a/control/versions.go
+++ b/control/versions.go
@@ -81,7 +81,7 @@
 	version := c.state.Version()
 	for i := range r.Entries {
 		if e := &r.Entries[i]; len(e.Data) > 0 {
-			version = max(version, fleet.VersionOf(e.Data))
+			version = max(version, fleet.CommandVersion(e.Data))
 		}
 	}
 	return c.requireVersion(version)
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -23,7 +23,7 @@
 }
 
 // Evacuated returns the zones that are being evacuated, by name.
-func (s *State) Evacuated() []EvacuatedZone {
+func (s *State) EvacuatedZones() []EvacuatedZone {
 	var out []EvacuatedZone
 	for zone, since := range s.evacuated {
 		out = append(out, EvacuatedZone{Zone: zone, Since: since.Unix()})
@@ -34,7 +34,7 @@
 
 // Evacuations counts the changes of what is evacuated, so that whoever was told of a later one
 // knows an earlier one.
-func (s *State) Evacuations() uint64 { return s.evacuations }
+func (s *State) EvacuationRevision() uint64 { return s.evacuations }
 
 // applyEvacuation takes an order. One that changes nothing counts as taken: operators send an
 // order again when they get no answer.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -195,7 +195,7 @@
 
 // Snapshot returns the whole state as bytes.
 func (s *State) Snapshot() ([]byte, error) {
-	out := snapshot{Revision: s.revision, Text: s.text, History: s.history, Table: s.table, Version: s.version, Evacuated: s.Evacuated(), Evacuations: s.evacuations, Results: make([]Result, 0, len(s.order))}
+	out := snapshot{Revision: s.revision, Text: s.text, History: s.history, Table: s.table, Version: s.version, Evacuated: s.EvacuatedZones(), Evacuations: s.evacuations, Results: make([]Result, 0, len(s.order))}
 	for _, id := range s.order {
 		out.Results = append(out.Results, s.results[id])
 	}
--- a/fleet/read.go
+++ b/fleet/read.go
@@ -26,13 +26,13 @@
 
 // Readable tells whether this build reads a command, so that one that it doesn't is refused
 // before it is kept.
-func Readable(data []byte) error {
+func CheckCommand(data []byte) error {
 	var c Change
 	return decode(data, &c)
 }
 
 // ReadableSnapshot tells whether this build reads a snapshot.
-func ReadableSnapshot(data []byte) error {
+func CheckSnapshot(data []byte) error {
 	_, err := decodeSnapshot(data)
 	return err
 }
--- a/fleet/version.go
+++ b/fleet/version.go
@@ -32,7 +32,7 @@
 }
 
 // VersionOf returns the version to which a command raises the fleet's; zero for all others.
-func VersionOf(command []byte) int {
+func CommandVersion(command []byte) int {
 	var c struct {
 		Version int `cbor:"10,keyasint"`
 	}
