--- a/agent/links.go
+++ b/agent/links.go
@@ -152,7 +152,7 @@
 	case m.Settings != nil:
 		a.takeSettings(now, l, m.Settings)
 	case m.Pull != nil:
-		if s := a.store.Push(m.Pull.Have); s != nil {
+		if s := a.store.UpdateFor(m.Pull.Have); s != nil {
 			_ = l.Send(&wire.Message{Settings: s})
 		}
 	case m.Reserve != nil:
@@ -206,11 +206,11 @@
 func (a *Agent) takeSettings(now time.Time, l *wire.Link, m *wire.Settings) {
 	before := a.store.Tree()
 	switch a.store.Apply(now, m) {
-	case spread.NeedWhole:
+	case spread.NeedFullText:
 		_ = l.Send(&wire.Message{Pull: &wire.Pull{}})
-	case spread.Bad:
+	case spread.Invalid:
 		event.SettingsBad.Log(a.log, "peer", l.Peer.Name, "revision", m.Revision)
-	case spread.Taken:
+	case spread.Applied:
 		a.pulledAt = time.Time{}
 		event.SettingsInForce.Log(a.log, "revision", m.Revision)
 		a.applySettings(now, before)
--- a/control/links.go
+++ b/control/links.go
@@ -193,7 +193,7 @@
 // sendSettings sends a peer the settings that it lacks, and whether this replica confirms
 // that they are the newest.
 func (c *Control) sendSettings(now time.Time, l *wire.Link, have uint64) {
-	if m := c.store.Push(have); m != nil {
+	if m := c.store.UpdateFor(have); m != nil {
 		m.Confirmed = c.node.Fresh(now)
 		_ = l.Send(&wire.Message{Settings: m})
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	m := &wire.Settings{Revision: c.state.Revision(), Sum: sha256.Sum256(text), Whole: text}
-	if c.store.Apply(now, m) != spread.Taken {
+	if c.store.Apply(now, m) != spread.Applied {
 		return
 	}
 	for name, member := range c.store.Tree().Fleet.Control {
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -42,13 +42,13 @@
 func (e *Entry) takeSettings(now time.Time, l *wire.Link, m *wire.Settings) {
 	acted := e.mayAct()
 	switch e.store.Apply(now, m) {
-	case spread.NeedWhole:
+	case spread.NeedFullText:
 		_ = l.Send(&wire.Message{Pull: &wire.Pull{}})
-	case spread.Bad:
+	case spread.Invalid:
 		event.SettingsBad.Log(e.log, "peer", l.Peer.Name, "revision", m.Revision)
-	case spread.Taken:
+	case spread.Applied:
 		e.inForceNow(now)
-	case spread.Old:
+	case spread.Stale:
 		if !acted && e.mayAct() {
 			e.inForceNow(now)
 		}
@@ -108,14 +108,14 @@
 // push sends the settings in force as a delta to the revision before; a peer
 // that lacks that one asks for the whole text.
 func (e *Entry) push(l *wire.Link) {
-	if m := e.store.Push(e.store.Revision() - 1); m != nil && e.mayAct() {
+	if m := e.store.UpdateFor(e.store.Revision() - 1); m != nil && e.mayAct() {
 		_ = l.Send(&wire.Message{Settings: m})
 	}
 }
 
 // answerPull sends a peer what it lacks.
 func (e *Entry) answerPull(l *wire.Link, p *wire.Pull) {
-	if m := e.store.Push(p.Have); m != nil && e.mayAct() {
+	if m := e.store.UpdateFor(p.Have); m != nil && e.mayAct() {
 		_ = l.Send(&wire.Message{Settings: m})
 	}
 }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -20,13 +20,13 @@
 // The outcomes.
 const (
 	// Old means that the revision is not higher than the one held.
-	Old Outcome = iota
+	Stale Outcome = iota
 	// Taken means that the revision is in force now.
-	Taken
+	Applied
 	// NeedWhole means that the delta does not fit, so the whole text is needed.
-	NeedWhole
+	NeedFullText
 	// Bad means that the text does not parse or has another hash.
-	Bad
+	Invalid
 )
 
 // Store holds the settings of one process.
@@ -56,27 +56,27 @@
 func (s *Store) Apply(now time.Time, m *wire.Settings) Outcome {
 	if m.Revision < s.revision || m.Revision == s.revision && s.tree != nil {
 		s.confirm(m)
-		return Old
+		return Stale
 	}
 	text := m.Whole
 	if text == nil {
 		if m.Delta == nil {
-			return Bad
+			return Invalid
 		}
 		var err error
 		if text, err = m.Delta.Apply(s.text); err != nil {
-			return NeedWhole
+			return NeedFullText
 		}
 	}
 	if sha256.Sum256(text) != m.Sum {
-		return Bad
+		return Invalid
 	}
 	tree, err := settings.Parse("settings", text)
 	if err != nil {
-		return Bad
+		return Invalid
 	}
 	s.keep(now, m, text, tree)
-	return Taken
+	return Applied
 }
 
 func (s *Store) keep(now time.Time, m *wire.Settings, text []byte, tree *settings.Tree) {
@@ -116,7 +116,7 @@
 
 // Push returns the message for a peer that holds revision have: nothing if it
 // has the newest, a delta if it is one behind, else the whole text.
-func (s *Store) Push(have uint64) *wire.Settings {
+func (s *Store) UpdateFor(have uint64) *wire.Settings {
 	if s.tree == nil || have > s.revision {
 		return nil
 	}
