--- a/app/dev.go
+++ b/app/dev.go
@@ -255,7 +255,7 @@
 func (d *Dev) waitReady(ctx context.Context) error {
 	for _, e := range d.entries {
 		for {
-			if ok, _ := e.proc.Ready(); ok && e.proc.Reachable() == len(devServers) {
+			if ok, _ := e.proc.Ready(); ok && e.proc.AvailableServers() == len(devServers) {
 				break
 			}
 			if err := pause(ctx); err != nil {
--- a/app/run.go
+++ b/app/run.go
@@ -125,7 +125,7 @@
 	c.Name, c.Zone, c.Log = p.file.Name, p.file.Zone, p.log
 	c.Upstream, c.Peers, c.Platform = part.Upstream, part.Peers, part.Platform
 	if p.file.Data != "" {
-		c.Keep = spread.NewFile(p.file.Data)
+		c.SettingsFile = spread.NewFile(p.file.Data)
 	}
 	p.entry = entry.Start(c)
 	var err error
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := s.entry.Submit(c.Request().Context(), entry.Job{Grant: in.grant, Key: in.key, Request: p.Request})
+	f, err := s.entry.Submit(c.Request().Context(), entry.ModelRequest{Grant: in.grant, Key: in.key, Request: p.Request})
 	if err != nil {
 		return err
 	}
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -283,7 +283,7 @@
 
 // Reachable counts the servers that could take work now: those with a link
 // and, for model servers, a free slot.
-func (e *Entry) Reachable() int {
+func (e *Entry) AvailableServers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -37,8 +37,8 @@
 	// entry hears of leaving VMs from its relay.
 	Platform string
 	// Keep is where settings are kept; nil if the VM has no disk.
-	Keep *spread.File
-	Log  *slog.Logger
+	SettingsFile *spread.File
+	Log          *slog.Logger
 }
 
 // Times of the entry.
@@ -116,7 +116,7 @@
 		Policy: router.DefaultPolicy(), MaxRecords: records, Name: cfg.Name,
 		QueueLimit: 1, StallAfter: time.Second,
 	})
-	if cfg.Keep != nil {
+	if cfg.SettingsFile != nil {
 		e.loadKept()
 		e.wg.Go(e.keepLoop)
 	}
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -22,7 +22,7 @@
 )
 
 // Job is a model request as a caller brings it.
-type Job struct {
+type ModelRequest struct {
 	Grant settings.Grant
 	// Key is the caller's Idempotency-Key; empty if none.
 	Key     string
@@ -143,11 +143,11 @@
 }
 
 // Tokens estimates the length of a prompt.
-func Tokens(text string) int { return max(len(text)/placement.BytesPerToken, 1) }
+func EstimateTokens(text string) int { return max(len(text)/placement.BytesPerToken, 1) }
 
 // Submit takes a request. A refusal comes as the error of the first Next, or
 // at once.
-func (e *Entry) Submit(ctx context.Context, job Job) (*Flow, error) {
+func (e *Entry) Submit(ctx context.Context, job ModelRequest) (*Flow, error) {
 	id := NewID()
 	c, done, err := e.claimRequest(ctx, job, id)
 	if err != nil || done != nil {
@@ -162,7 +162,7 @@
 	return f, err
 }
 
-func (e *Entry) submit(job Job, id string, c *onceClaim) (*Flow, error) {
+func (e *Entry) submit(job ModelRequest, id string, c *onceClaim) (*Flow, error) {
 	if !e.mayAct() {
 		return nil, fault.New(fault.NotReady, fault.StepAdmit, e.cfg.Name, "no confirmed settings yet")
 	}
@@ -189,7 +189,7 @@
 	return f, nil
 }
 
-func (e *Entry) newFlow(job Job, req router.Request) *Flow {
+func (e *Entry) newFlow(job ModelRequest, req router.Request) *Flow {
 	f := &Flow{
 		ID: req.ID, entry: e, req: job.Request, parts: make(chan stream.Chunk, bufferedParts),
 		class: req.Class, arrived: clock.VM.Now(), prompt: req.Tokens,
@@ -202,7 +202,7 @@
 }
 
 // plan turns a job into a request for the router.
-func (e *Entry) plan(job *Job) (router.Request, int, error) {
+func (e *Entry) plan(job *ModelRequest) (router.Request, int, error) {
 	tree := e.store.Tree()
 	class, ok := tree.Fleet.Classes[job.Grant.Class]
 	if !ok {
@@ -218,7 +218,7 @@
 		lim = e.fleet
 	}
 	text := job.Request.Text()
-	tokens := Tokens(text)
+	tokens := EstimateTokens(text)
 	if tokens > lim.MaxPromptTokens {
 		return router.Request{}, 0, fault.New(fault.PromptTooLong, fault.StepAdmit, "",
 			fmt.Sprintf("about %d prompt tokens, at most %d", tokens, lim.MaxPromptTokens))
--- a/entry/once.go
+++ b/entry/once.go
@@ -41,7 +41,7 @@
 
 // claimRequest claims the key of a request of a once class. It returns the
 // claim, or a flow with the recorded answer of an earlier attempt.
-func (e *Entry) claimRequest(ctx context.Context, job Job, id string) (*onceClaim, *Flow, error) {
+func (e *Entry) claimRequest(ctx context.Context, job ModelRequest, id string) (*onceClaim, *Flow, error) {
 	e.mu.Lock()
 	tree := e.store.Tree()
 	if !e.mayAct() {
@@ -78,19 +78,19 @@
 }
 
 // requestHash tells requests with the same key apart.
-func requestHash(job Job) uint64 {
+func requestHash(job ModelRequest) uint64 {
 	h := fnv.New64a()
 	_ = json.NewEncoder(h).Encode(job.Request)
 	return h.Sum64()
 }
 
 // replay returns a flow that gives a recorded answer.
-func replay(id string, a *claim.Answer, job Job) (*Flow, error) {
+func replay(id string, a *claim.Answer, job ModelRequest) (*Flow, error) {
 	var r recorded
 	if err := json.Unmarshal(a.Body, &r); err != nil {
 		return nil, fault.New(fault.OutcomeUnknown, fault.StepClaim, "", "the answer was too long to be kept; it was given once")
 	}
-	f := &Flow{ID: id, parts: make(chan stream.Chunk, 2), prompt: Tokens(job.Request.Text())}
+	f := &Flow{ID: id, parts: make(chan stream.Chunk, 2), prompt: EstimateTokens(job.Request.Text())}
 	f.parts <- stream.Chunk{Text: r.Text}
 	f.parts <- stream.Chunk{Index: r.Tokens, Finish: r.Finish}
 	close(f.parts)
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -28,7 +28,7 @@
 // loadKept reads the settings that the entry kept on its disk. It does not act
 // on them before they are confirmed.
 func (e *Entry) loadKept() {
-	rev, text, err := e.cfg.Keep.Read()
+	rev, text, err := e.cfg.SettingsFile.Read()
 	if err == nil && rev > 0 {
 		err = e.store.Load(rev, text)
 	}
@@ -99,7 +99,7 @@
 		e.mu.Lock()
 		rev, text := e.store.Revision(), e.store.Text()
 		e.mu.Unlock()
-		if err := e.cfg.Keep.Write(rev, text); err != nil {
+		if err := e.cfg.SettingsFile.Write(rev, text); err != nil {
 			event.JournalFailed.Log(e.log, "error", fault.From(err))
 		}
 	}
