--- a/agent/agent.go
+++ b/agent/agent.go
@@ -34,7 +34,7 @@
 	Log *slog.Logger
 	// FoundClaims makes its claim voter vote at once, though it can't know that
 	// its group has no past. It is for dev and for tests only.
-	FoundClaims bool
+	AssumeNewClaimGroup bool
 }
 
 // Times of the agent.
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -28,7 +28,7 @@
 	}
 	a.group = key
 	a.voter = claim.NewVoter(now, a.cfg.Name, uint64(a.epoch), members, life)
-	if a.cfg.FoundClaims || before != nil && len(before.Fleet.Services[key.service].ClaimGroup[key.site]) == 0 {
+	if a.cfg.AssumeNewClaimGroup || before != nil && len(before.Fleet.Services[key.service].ClaimGroup[key.site]) == 0 {
 		a.voter.Bootstrap()
 		return
 	}
--- a/app/dev.go
+++ b/app/dev.go
@@ -186,7 +186,7 @@
 
 // startServer starts a stand-in server and the agent beside it.
 func (d *Dev) startServer(name, role string) error {
-	c := agent.Config{Name: name, Zone: "dev", Log: d.opts.Log, FoundClaims: true}
+	c := agent.Config{Name: name, Zone: "dev", Log: d.opts.Log, AssumeNewClaimGroup: true}
 	if role == settings.RoleService {
 		s, err := standin.StartService("127.0.0.1:0")
 		if err != nil {
@@ -210,7 +210,7 @@
 	if err := a.start(d); err != nil {
 		return err
 	}
-	a.conf.FoundClaims = false // a voter that restarts has to recover
+	a.conf.AssumeNewClaimGroup = false // a voter that restarts has to recover
 	return nil
 }
 
