--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -40,9 +40,9 @@
 // order again when they get no answer.
 func (s *State) applyEvacuation(c Change) Result {
 	zone := c.Evacuation.Zone
-	if _, out := s.evacuated[zone]; out == c.Evacuation.Finished {
+	if _, evacuated := s.evacuated[zone]; evacuated == c.Evacuation.Finished {
 		s.evacuations++
-		if out {
+		if evacuated {
 			delete(s.evacuated, zone)
 		} else {
 			s.evacuated[zone] = time.Unix(c.When/int64(time.Second), 0).UTC()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -68,13 +68,13 @@
 
 // State is the replicated state.
 type State struct {
-	revision uint64
-	text     []byte
-	results  map[string]Result
-	order    []string // change IDs, the oldest first
-	history  []Past
-	table    *route.Table // nil before the first
-	version  int          // zero while it is the base version
+	revision  uint64
+	text      []byte
+	results   map[string]Result
+	resultIDs []string // change IDs, the oldest first
+	history   []Past
+	table     *route.Table // nil before the first
+	version   int          // zero while it is the base version
 	// evacuated are the zones that are being evacuated, and evacuations counts the changes
 	// of that.
 	evacuated   map[string]time.Time
@@ -130,12 +130,12 @@
 	if r, ok := s.results[c.ID]; ok {
 		return r, nil
 	}
-	r := s.apply(c)
-	s.remember(r)
+	r := s.applySettings(c)
+	s.addResult(r)
 	return r, nil
 }
 
-func (s *State) apply(c Change) Result {
+func (s *State) applySettings(c Change) Result {
 	if c.Base != s.revision {
 		return Result{ID: c.ID, Revision: s.revision,
 			Detail: fmt.Sprintf("based on revision %d, and %d is the newest", c.Base, s.revision)}
@@ -164,12 +164,12 @@
 	return Result{ID: c.ID, Revision: s.table.Version, OK: true}
 }
 
-func (s *State) remember(r Result) {
+func (s *State) addResult(r Result) {
 	s.results[r.ID] = r
-	s.order = append(s.order, r.ID)
-	if len(s.order) > MaxResults {
-		delete(s.results, s.order[0])
-		s.order = s.order[1:]
+	s.resultIDs = append(s.resultIDs, r.ID)
+	if len(s.resultIDs) > MaxResults {
+		delete(s.results, s.resultIDs[0])
+		s.resultIDs = s.resultIDs[1:]
 	}
 }
 
@@ -195,8 +195,8 @@
 
 // Snapshot returns the whole state as bytes.
 func (s *State) Snapshot() ([]byte, error) {
-	out := snapshot{Revision: s.revision, Text: s.text, History: s.history, Table: s.table, Version: s.version, Evacuated: s.EvacuatedZones(), Evacuations: s.evacuations, Results: make([]Result, 0, len(s.order))}
-	for _, id := range s.order {
+	out := snapshot{Revision: s.revision, Text: s.text, History: s.history, Table: s.table, Version: s.version, Evacuated: s.EvacuatedZones(), Evacuations: s.evacuations, Results: make([]Result, 0, len(s.resultIDs))}
+	for _, id := range s.resultIDs {
 		out.Results = append(out.Results, s.results[id])
 	}
 	return cbor.Marshal(out)
@@ -214,7 +214,7 @@
 	}
 	s.revision, s.text, s.history, s.table, s.version = in.Revision, in.Text, in.History, in.Table, in.Version
 	for _, r := range in.Results {
-		s.remember(r)
+		s.addResult(r)
 	}
 	s.evacuations = in.Evacuations
 	for _, z := range in.Evacuated {
