--- a/spread/file.go
+++ b/spread/file.go
@@ -19,7 +19,7 @@
 // NewFile returns a file in a folder.
 func NewFile(dir string) *File { return &File{path: filepath.Join(dir, "settings.kept")} }
 
-const fileHead = 12 // revision and checksum
+const headerSize = 12 // revision and checksum
 
 // Read returns what was written last; revision zero if nothing was.
 func (f *File) Read() (revision uint64, text []byte, err error) {
@@ -30,20 +30,20 @@
 	if err != nil {
 		return 0, nil, fault.Wrap(err, fault.JournalFailed, fault.StepSettings, f.path)
 	}
-	if len(data) < fileHead || binary.LittleEndian.Uint32(data[8:]) != checksum(data) {
+	if len(data) < headerSize || binary.LittleEndian.Uint32(data[8:]) != checksum(data) {
 		return 0, nil, fault.New(fault.JournalBroken, fault.StepSettings, f.path, "the kept settings are damaged")
 	}
-	return binary.LittleEndian.Uint64(data), data[fileHead:], nil
+	return binary.LittleEndian.Uint64(data), data[headerSize:], nil
 }
 
 func checksum(data []byte) uint32 {
 	sum := crc32.ChecksumIEEE(data[:8])
-	return crc32.Update(sum, crc32.IEEETable, data[fileHead:])
+	return crc32.Update(sum, crc32.IEEETable, data[headerSize:])
 }
 
 // Write keeps a revision; it is durable when Write returns.
 func (f *File) Write(revision uint64, text []byte) error {
-	data := make([]byte, fileHead, fileHead+len(text))
+	data := make([]byte, headerSize, headerSize+len(text))
 	binary.LittleEndian.PutUint64(data, revision)
 	data = append(data, text...)
 	binary.LittleEndian.PutUint32(data[8:], checksum(data))
@@ -53,8 +53,8 @@
 // WriteSynced replaces a file: written aside, synced, renamed, and the folder
 // synced, so that either the old or the new content survives a crash.
 func WriteSynced(path string, data []byte) error {
-	aside := path + ".new"
-	file, err := os.OpenFile(aside, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	tmpPath := path + ".new"
+	file, err := os.OpenFile(tmpPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(aside, path); err != nil {
+	if err := os.Rename(tmpPath, path); err != nil {
 		return err
 	}
 	return syncDir(filepath.Dir(path))
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -38,7 +38,7 @@
 	confirmed bool
 	since     time.Time
 	// last is the newest delta, kept to be passed on.
-	last *wire.Settings
+	lastDelta *wire.Settings
 }
 
 // Load enters settings that the process kept on its disk. They are not
@@ -75,19 +75,19 @@
 	if err != nil {
 		return Invalid
 	}
-	s.keep(now, m, text, tree)
+	s.set(now, m, text, tree)
 	return Applied
 }
 
-func (s *Store) keep(now time.Time, m *wire.Settings, text []byte, tree *settings.Tree) {
-	before := s.text
+func (s *Store) set(now time.Time, m *wire.Settings, text []byte, tree *settings.Tree) {
+	previous := s.text
 	s.revision, s.text, s.tree, s.sum = m.Revision, text, tree, m.Sum
 	s.confirmed = m.Confirmed
 	s.since = now
-	s.last = nil
-	if before != nil {
-		delta := settings.NewDelta(before, text)
-		s.last = &wire.Settings{Revision: m.Revision, Sum: m.Sum, Delta: &delta}
+	s.lastDelta = nil
+	if previous != nil {
+		delta := settings.NewDelta(previous, text)
+		s.lastDelta = &wire.Settings{Revision: m.Revision, Sum: m.Sum, Delta: &delta}
 	}
 }
 
@@ -123,8 +123,8 @@
 	if have == s.revision {
 		return &wire.Settings{Revision: s.revision, Sum: s.sum, Confirmed: s.confirmed}
 	}
-	if s.last != nil && have == s.revision-1 {
-		m := *s.last
+	if s.lastDelta != nil && have == s.revision-1 {
+		m := *s.lastDelta
 		m.Confirmed = s.confirmed
 		return &m
 	}
