--- a/entry/agents.go
+++ b/entry/agents.go
@@ -26,77 +26,77 @@
 	// leaving is the agent's own report that its server takes no new work.
 	leaving bool
 	// lost is when the link broke; zero if it never was up or is up.
-	lost time.Time
+	disconnectedAt time.Time
 	// gone tells that the grace is over and the work there was given up.
-	gone bool
+	abandoned bool
 	// reported tells that a load came over the present link, and told that what
 	// its engine has loaded did.
-	reported, told bool
-	assets         []string
-	role           string
+	loadReported, assetsReported bool
+	assets                       []string
+	role                         string
 }
 
 // dialAgent starts the loop that keeps a link to an agent. Callers hold the
 // lock.
-func (e *Entry) dialAgent(p settings.PlacedServer) {
+func (e *Entry) startAgentLink(p settings.PlacedServer) {
 	ctx, cancel := context.WithCancel(e.ctx)
-	a := &agentLink{name: p.Name, addr: p.Agent, placed: p, stop: cancel, gone: true}
+	a := &agentLink{name: p.Name, addr: p.Agent, placed: p, stop: cancel, abandoned: true}
 	e.agents[p.Name] = a
 	e.wg.Go(func() { e.agentLoop(ctx, a) })
 }
 
 func (e *Entry) agentLoop(ctx context.Context, a *agentLink) {
-	again := redial
+	delay := minRedialDelay
 	for ctx.Err() == nil {
 		l, err := e.dialer.Dial(ctx, a.addr, e.options())
 		if err == nil {
-			again = redial
-			e.runAgent(ctx, a, l)
+			delay = minRedialDelay
+			e.runAgentLink(ctx, a, l)
 		}
-		e.checkGrace(a)
-		wait.For(ctx, again)
-		if clock.VM.Since(a.lost) > linkGrace {
-			again = min(2*again, maxRedial)
+		e.abandonDisconnected(a)
+		wait.For(ctx, delay)
+		if clock.VM.Since(a.disconnectedAt) > reconnectTimeout {
+			delay = min(2*delay, maxRedialDelay)
 		}
 	}
 }
 
-func (e *Entry) runAgent(ctx context.Context, a *agentLink, l *wire.Link) {
-	e.agentUp(a, l)
+func (e *Entry) runAgentLink(ctx context.Context, a *agentLink, l *wire.Link) {
+	e.agentConnected(a, l)
 	err := l.Run(ctx, func(m *wire.Message) { e.handleAgent(a, l, m) })
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a.link = nil
-	a.lost = clock.VM.Now()
+	a.disconnectedAt = clock.VM.Now()
 	if ctx.Err() != nil {
 		return
 	}
 	event.LinkDown.Log(e.log, "peer", a.name, "why", fault.From(err))
 	e.core.LinkLost(a.name)
 	e.failCalls(a.name)
-	time.AfterFunc(linkGrace, func() { e.checkGrace(a) })
+	time.AfterFunc(reconnectTimeout, func() { e.abandonDisconnected(a) })
 }
 
 // checkGrace gives up the work at an agent whose link has been down too long.
-func (e *Entry) checkGrace(a *agentLink) {
+func (e *Entry) abandonDisconnected(a *agentLink) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.link != nil || a.gone || e.ctx.Err() != nil || clock.VM.Since(a.lost) < linkGrace {
+	if a.link != nil || a.abandoned || e.ctx.Err() != nil || clock.VM.Since(a.disconnectedAt) < reconnectTimeout {
 		return
 	}
-	a.gone = true
+	a.abandoned = true
 	e.perform(clock.VM.Now(), e.core.ServerDown(clock.VM.Now(), a.name))
 }
 
-func (e *Entry) agentUp(a *agentLink, l *wire.Link) {
+func (e *Entry) agentConnected(a *agentLink, l *wire.Link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	event.LinkUp.Log(e.log, "peer", a.name, "build", l.Peer.Build, "speaks", l.Speaks())
 	now := clock.VM.Now()
-	a.link, a.gone, a.leaving, a.reported, a.told = l, false, false, false, false
-	_ = l.Send(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.inForce()}})
-	again, effects := e.core.LinkRestored(now, a.name)
-	for _, r := range again {
+	a.link, a.abandoned, a.leaving, a.loadReported, a.assetsReported = l, false, false, false, false
+	_ = l.Send(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.revisionInForce()}})
+	resumed, effects := e.core.LinkRestored(now, a.name)
+	for _, r := range resumed {
 		from := 0
 		if f := e.flows[r.ID.Req]; f != nil {
 			from = f.asm.Next()
@@ -116,15 +116,15 @@
 	now := clock.VM.Now()
 	switch {
 	case m.Chunk != nil:
-		e.chunk(now, m.Chunk)
+		e.handleChunk(now, m.Chunk)
 	case m.Heartbeat != nil:
-		e.agentBeat(now, a, m.Heartbeat)
+		e.handleAgentHeartbeat(now, a, m.Heartbeat)
 	case m.Reserved != nil:
 		r := m.Reserved
-		e.perform(now, e.core.Reserved(now, a.name, r.ID, r.OK, r.Reason, e.marked(a, r.Load)))
+		e.perform(now, e.core.Reserved(now, a.name, r.ID, r.OK, r.Reason, e.withLeaving(a, r.Load)))
 	case m.Prefilled != nil:
 		p := m.Prefilled
-		e.core.View().Report(a.name, e.marked(a, p.Load))
+		e.core.View().Report(a.name, e.withLeaving(a, p.Load))
 		e.perform(now, e.core.Prefilled(now, a.name, p.ID, p.KV, p.Cached, p.Took))
 	case m.Imported != nil:
 		e.perform(now, e.core.Imported(now, a.name, m.Imported.ID))
@@ -134,60 +134,60 @@
 	case m.Pull != nil:
 		e.answerPull(l, m.Pull)
 	case m.Superseded != nil:
-		e.superseded(now, m.Superseded)
+		e.handleSuperseded(now, m.Superseded)
 	case m.Registered != nil:
-		e.registered(now, m.Registered.Req)
+		e.startRegistered(now, m.Registered.Req)
 	case m.Granted != nil:
-		e.voted(m.Granted)
+		e.handleVote(m.Granted)
 	case m.Recorded != nil:
-		e.outcomeTaken(m.Recorded.Attempt)
+		e.handleRecorded(m.Recorded.Attempt)
 	case m.Answer != nil:
-		e.answered(m.Answer)
-	case m.Ordered != nil && e.up != nil:
-		_ = e.up.Send(m)
+		e.handleAnswer(m.Answer)
+	case m.Ordered != nil && e.upstream != nil:
+		_ = e.upstream.Send(m)
 	}
 }
 
-func (e *Entry) agentBeat(now time.Time, a *agentLink, h *wire.Heartbeat) {
+func (e *Entry) handleAgentHeartbeat(now time.Time, a *agentLink, h *wire.Heartbeat) {
 	if h.Told {
-		a.told, a.assets, a.role = true, h.Assets, h.Role
-		e.tellSummary()
+		a.assetsReported, a.assets, a.role = true, h.Assets, h.Role
+		e.sendSummary()
 	}
 	if h.Load == nil {
 		return
 	}
-	a.reported = true
-	e.perform(now, e.core.Report(now, a.name, e.marked(a, *h.Load)))
+	a.loadReported = true
+	e.perform(now, e.core.Report(now, a.name, e.withLeaving(a, *h.Load)))
 }
 
 // marked adds to a load what the platform's list says of the server.
-func (e *Entry) marked(a *agentLink, l placement.Load) placement.Load {
+func (e *Entry) withLeaving(a *agentLink, l placement.Load) placement.Load {
 	a.leaving = l.Leaving
 	l.Leaving = l.Leaving || e.leaving[a.name]
 	return l
 }
 
 // chunk gives a part of an answer to its caller.
-func (e *Entry) chunk(now time.Time, c *wire.Chunk) {
+func (e *Entry) handleChunk(now time.Time, c *wire.Chunk) {
 	f := e.flows[c.Req]
 	if f == nil {
 		return
 	}
 	parts, err := f.asm.Accept(c.Attempt, stream.Chunk{Index: c.Index, Text: c.Text, Finish: c.Finish})
 	if err != nil {
-		e.perform(now, e.core.Failed(now, f.decodeAt, c.ID, fault.StepStream, err.Error(), true))
+		e.perform(now, e.core.Failed(now, f.decodeServer, c.ID, fault.StepStream, err.Error(), true))
 		return
 	}
 	for _, p := range parts {
-		f.tokens(now, p)
-		if !f.push(p) {
-			e.cutOff(now, f, fault.CallerSlow)
+		f.countToken(now, p)
+		if !f.enqueue(p) {
+			e.abort(now, f, fault.CallerSlow)
 			return
 		}
 		if p.Finish != "" {
-			f.finish = p.Finish
-			e.perform(now, e.core.Done(now, c.ID, f.perToken()))
-			e.end(f, nil)
+			f.finishReason = p.Finish
+			e.perform(now, e.core.Done(now, c.ID, f.timePerToken()))
+			e.endFlow(f, nil)
 			return
 		}
 		e.perform(now, e.core.Token(now, c.ID, f.asm.Next()))
@@ -199,11 +199,11 @@
 func (e *Entry) perform(now time.Time, effects []router.Effect) {
 	for len(effects) > 0 {
 		next := effects[0]
-		effects = append(effects[1:], e.one(now, next)...)
+		effects = append(effects[1:], e.performOne(now, next)...)
 	}
 }
 
-func (e *Entry) one(now time.Time, eff router.Effect) []router.Effect {
+func (e *Entry) performOne(now time.Time, eff router.Effect) []router.Effect {
 	switch x := eff.(type) {
 	case router.SwitchAttempt:
 		if f := e.flows[x.ID.Req]; f != nil {
@@ -211,21 +211,21 @@
 		}
 	case router.Reserve:
 		m := &wire.Reserve{ID: x.ID, Model: x.Model, Priority: x.Priority, Tokens: x.Tokens, Hold: x.Hold, Keep: x.Keep}
-		if !e.toAgent(x.Server, &wire.Message{Reserve: m}) {
+		if !e.sendToAgent(x.Server, &wire.Message{Reserve: m}) {
 			return e.core.Failed(now, x.Server, x.ID, fault.StepReserve, "no link", false)
 		}
 	case router.StartPrefill:
-		if f := e.flows[x.ID.Req]; f != nil && !e.toAgent(x.Server, &wire.Message{Prefill: &wire.Prefill{ID: x.ID, Request: f.request()}}) {
+		if f := e.flows[x.ID.Req]; f != nil && !e.sendToAgent(x.Server, &wire.Message{Prefill: &wire.Prefill{ID: x.ID, Request: f.request()}}) {
 			return e.core.Failed(now, x.Server, x.ID, fault.StepPrefill, "no link", false)
 		}
 	case router.StartDecode:
 		return e.startDecode(now, x)
 	case router.Release:
-		e.toAgent(x.Server, &wire.Message{Cancel: &wire.Cancel{ID: x.ID}})
+		e.sendToAgent(x.Server, &wire.Message{Cancel: &wire.Cancel{ID: x.ID}})
 	case router.Refuse:
-		e.refused(x)
+		e.handleRefusal(x)
 	case router.Fail:
-		e.failed(x)
+		e.handleFailure(x)
 	case router.ServerEjected:
 		event.ServerEjected.Log(e.log, "server", x.Server)
 	}
@@ -237,16 +237,16 @@
 	if f == nil {
 		return nil
 	}
-	f.decodeAt = x.Server
+	f.decodeServer = x.Server
 	m := &wire.Decode{ID: x.ID, Request: f.request(), KV: x.KV, From: f.asm.Next()}
-	if !e.toAgent(x.Server, &wire.Message{Decode: m}) {
+	if !e.sendToAgent(x.Server, &wire.Message{Decode: m}) {
 		return e.core.Failed(now, x.Server, x.ID, fault.StepTransfer, "no link", false)
 	}
 	return nil
 }
 
 // toAgent sends a message; it reports false if there is no link.
-func (e *Entry) toAgent(name string, m *wire.Message) bool {
+func (e *Entry) sendToAgent(name string, m *wire.Message) bool {
 	a := e.agents[name]
 	return a != nil && a.link != nil && a.link.Send(m) == nil
 }
@@ -254,13 +254,13 @@
 // passOrder sends an order of control on to its agent. Control sends each
 // order over one link only, so there is one way to an agent. Callers hold the
 // lock.
-func (e *Entry) passOrder(m *wire.Message) {
+func (e *Entry) forwardOrder(m *wire.Message) {
 	if !m.Order.Floor {
-		e.toAgent(m.Order.Server, m)
+		e.sendToAgent(m.Order.Server, m)
 		return
 	}
 	for name := range e.agents {
-		e.toAgent(name, m)
+		e.sendToAgent(name, m)
 	}
 }
 
@@ -270,7 +270,7 @@
 	out := &wire.Summary{Zone: e.cfg.Zone}
 	for name, a := range e.agents {
 		s := e.core.View().Server(name)
-		if a.link == nil || s == nil || s.Zone != e.cfg.Zone || !a.reported || !a.told {
+		if a.link == nil || s == nil || s.Zone != e.cfg.Zone || !a.loadReported || !a.assetsReported {
 			continue
 		}
 		out.Servers = append(out.Servers, wire.ServerState{
@@ -289,7 +289,7 @@
 	n := 0
 	for name, a := range e.agents {
 		s := e.core.View().Server(name)
-		if a.link != nil && (s == nil || a.reported && s.Free() > 0 && len(s.LoadedModels()) > 0) {
+		if a.link != nil && (s == nil || a.loadReported && s.Free() > 0 && len(s.LoadedModels()) > 0) {
 			n++
 		}
 	}
--- a/entry/spill.go
+++ b/entry/borrow.go
@@ -15,33 +15,33 @@
 	// each; in a larger one it has links to its own zone, and borrows.
 	smallFleet = 64
 	// borrowEach is the number of servers of each role that are borrowed.
-	borrowEach = 4
+	borrowedPerRole = 4
 	// borrowTime is how long they are kept after the zone was last short.
-	borrowTime = 30 * time.Second
+	borrowDuration = 30 * time.Second
 	// shortTime is how long a refusal counts as a sign that the zone is short.
-	shortTime = 5 * time.Second
+	shortageDuration = 5 * time.Second
 )
 
 // linked tells whether the entry of a large fleet keeps a link to a server of
 // another zone: those of plain services, which vote on claims, and those that
 // are borrowed.
-func (e *Entry) linked(p settings.PlacedServer) bool {
+func (e *Entry) keepsLink(p settings.PlacedServer) bool {
 	_, ok := e.borrowed[p.Name]
 	return ok || p.Role == settings.RoleService
 }
 
 // takeZones keeps what other zones have free and passes it on. Callers hold
 // the lock.
-func (e *Entry) takeZones(m *wire.Message) {
-	e.zones = m.Zones.Free
-	for l := range e.down {
+func (e *Entry) handleZones(m *wire.Message) {
+	e.zoneCapacity = m.Zones.Free
+	for l := range e.downstream {
 		_ = l.Send(m)
 	}
 }
 
 // spill borrows servers of the zone with the most room while the entry's own
 // zone is short of a model, and gives them back after. Callers hold the lock.
-func (e *Entry) spill(now time.Time) {
+func (e *Entry) borrowServers(now time.Time) {
 	changed := false
 	for name, until := range e.borrowed {
 		s := e.core.View().Server(name)
@@ -52,46 +52,46 @@
 	}
 	for model := range e.store.Tree().Fleet.Models {
 		if !e.core.View().ServesModel(model) {
-			e.short[model] = now
+			e.shortages[model] = now
 		}
-		if now.Sub(e.short[model]) < shortTime && e.borrow(now, model) {
+		if now.Sub(e.shortages[model]) < shortageDuration && e.borrowFor(now, model) {
 			changed = true
 		}
 	}
 	if changed {
-		e.apply(now)
+		e.applySettings(now)
 	}
 }
 
 // borrow picks servers for a model; it reports whether there are new ones.
-func (e *Entry) borrow(now time.Time, model string) bool {
-	zone := e.roomiest(model)
+func (e *Entry) borrowFor(now time.Time, model string) bool {
+	zone := e.zoneWithMostCapacity(model)
 	if zone == "" {
 		return false
 	}
 	changed := false
-	left := map[string]int{settings.RolePrefill: borrowEach, settings.RoleDecode: borrowEach}
-	for _, p := range e.byNearness(zone, model) {
-		if left[p.Role] == 0 {
+	remaining := map[string]int{settings.RolePrefill: borrowedPerRole, settings.RoleDecode: borrowedPerRole}
+	for _, p := range e.rankedServers(zone, model) {
+		if remaining[p.Role] == 0 {
 			continue
 		}
-		left[p.Role]--
+		remaining[p.Role]--
 		if _, ok := e.borrowed[p.Name]; !ok {
 			changed = true
 			event.Borrowed.Log(e.log, "server", p.Name, "zone", zone, "model", model)
 		}
-		e.borrowed[p.Name] = now.Add(borrowTime)
+		e.borrowed[p.Name] = now.Add(borrowDuration)
 	}
 	return changed
 }
 
 // roomiest returns the other zone with the most room for a model, by the
 // scarcer of its two roles.
-func (e *Entry) roomiest(model string) string {
-	best, most := "", 0
-	for _, z := range e.zones {
-		if n := min(z.Prefill[model], z.Decode[model]); z.Zone != e.cfg.Zone && n > most {
-			best, most = z.Zone, n
+func (e *Entry) zoneWithMostCapacity(model string) string {
+	best, maxFree := "", 0
+	for _, z := range e.zoneCapacity {
+		if n := min(z.Prefill[model], z.Decode[model]); z.Zone != e.cfg.Zone && n > maxFree {
+			best, maxFree = z.Zone, n
 		}
 	}
 	return best
@@ -99,7 +99,7 @@
 
 // byNearness lists the servers of a zone for a model in an order that differs
 // between entries, so that they do not all borrow the same ones.
-func (e *Entry) byNearness(zone, model string) []settings.PlacedServer {
+func (e *Entry) rankedServers(zone, model string) []settings.PlacedServer {
 	var out []settings.PlacedServer
 	for _, p := range e.store.Tree().Servers() {
 		for _, m := range p.Models {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -11,7 +11,7 @@
 )
 
 // claimWait is a claim whose votes are awaited.
-type claimWait struct {
+type pendingClaim struct {
 	proposer *claim.Proposer
 	verdict  chan claim.Verdict
 }
@@ -21,7 +21,7 @@
 
 // group returns the claim group of a service for a customer: that of its home
 // site, or the first one.
-func group(svc settings.Service, home string) (string, []string) {
+func claimGroup(svc settings.Service, home string) (string, []string) {
 	if members, ok := svc.ClaimGroup[home]; ok {
 		return home, members
 	}
@@ -37,11 +37,11 @@
 // claim asks the members of a group for their votes.
 func (e *Entry) claim(ctx context.Context, ask claim.VoteRequest, members []string) (claim.Verdict, *claim.Proposer) {
 	p := claim.NewProposer(ask.Attempt, len(members))
-	w := &claimWait{proposer: p, verdict: make(chan claim.Verdict, 1)}
+	w := &pendingClaim{proposer: p, verdict: make(chan claim.Verdict, 1)}
 	e.mu.Lock()
-	e.claims[ask.Attempt] = w
+	e.pendingClaims[ask.Attempt] = w
 	for _, name := range members {
-		e.toAgent(name, &wire.Message{Grant: &ask})
+		e.sendToAgent(name, &wire.Message{Grant: &ask})
 	}
 	e.mu.Unlock()
 	t := time.NewTimer(claimTimeout)
@@ -53,14 +53,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.claims, ask.Attempt)
+	delete(e.pendingClaims, ask.Attempt)
 	verdict := p.Close()
 	metric.Claims.WithLabelValues(verdict.String()).Inc()
 	return verdict, p
 }
 
-func (e *Entry) voted(v *claim.Vote) {
-	w := e.claims[v.Attempt]
+func (e *Entry) handleVote(v *claim.Vote) {
+	w := e.pendingClaims[v.Attempt]
 	if w == nil {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // recordWait is an outcome that a majority of the voters has not taken yet.
-type recordWait struct {
+type pendingRecord struct {
 	// missing is the number of voters that must still answer.
 	missing int
 	timer   *time.Timer
@@ -81,33 +81,33 @@
 }
 
 // giveUp frees the grants of an attempt that sent nothing.
-func (e *Entry) giveUp(ask claim.VoteRequest, members []string) {
-	e.tellGroup(&claim.Record{Key: ask.Key, Attempt: ask.Attempt}, members)
+func (e *Entry) releaseClaim(ask claim.VoteRequest, members []string) {
+	e.sendRecord(&claim.Record{Key: ask.Key, Attempt: ask.Attempt}, members)
 }
 
 // tellGroup tells the voters the outcome of an attempt. The channel that it returns
 // is closed once a majority of them has taken it, or claimTimeout later: a retry
 // through another entry that its caller sends after that finds the outcome.
-func (e *Entry) tellGroup(r *claim.Record, members []string) <-chan struct{} {
+func (e *Entry) sendRecord(r *claim.Record, members []string) <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.tellGroupLocked(r, members)
+	return e.sendRecordLocked(r, members)
 }
 
 // tellGroupLocked is tellGroup for callers that hold the lock.
-func (e *Entry) tellGroupLocked(r *claim.Record, members []string) <-chan struct{} {
+func (e *Entry) sendRecordLocked(r *claim.Record, members []string) <-chan struct{} {
 	sent := 0
 	for _, name := range members {
-		if e.toAgent(name, &wire.Message{Record: r}) {
+		if e.sendToAgent(name, &wire.Message{Record: r}) {
 			sent++
 		}
 	}
-	w := &recordWait{missing: min(claim.Majority(len(members)), sent), done: make(chan struct{})}
+	w := &pendingRecord{missing: min(claim.Majority(len(members)), sent), done: make(chan struct{})}
 	if w.missing == 0 {
 		close(w.done)
 		return w.done
 	}
-	e.records[r.Attempt] = w
+	e.pendingRecords[r.Attempt] = w
 	w.timer = time.AfterFunc(e.recordTimeout, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -117,8 +117,8 @@
 }
 
 // outcomeTaken takes a voter's report that it has an outcome. Callers hold the lock.
-func (e *Entry) outcomeTaken(attempt string) {
-	w := e.records[attempt]
+func (e *Entry) handleRecorded(attempt string) {
+	w := e.pendingRecords[attempt]
 	if w == nil {
 		return
 	}
@@ -128,10 +128,10 @@
 }
 
 // endRecord ends the wait for an outcome to be taken. Callers hold the lock.
-func (e *Entry) endRecord(attempt string, w *recordWait) {
-	if e.records[attempt] == w {
+func (e *Entry) endRecord(attempt string, w *pendingRecord) {
+	if e.pendingRecords[attempt] == w {
 		w.timer.Stop()
-		delete(e.records, attempt)
+		delete(e.pendingRecords, attempt)
 		close(w.done)
 	}
 }
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -44,12 +44,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	d := Dump{
-		Name: e.cfg.Name, Zone: e.cfg.Zone, Revision: e.inForce(), Since: e.store.Since(), Degraded: e.degraded,
-		Draining: e.draining, Waiting: e.core.Waiting(), Open: e.core.Dump(clock.VM.Now()), Calls: len(e.calls), Stats: e.core.Stats(),
+		Name: e.cfg.Name, Zone: e.cfg.Zone, Revision: e.revisionInForce(), Since: e.store.Since(), Degraded: e.degraded,
+		Draining: e.draining, Waiting: e.core.Waiting(), Open: e.core.Dump(clock.VM.Now()), Calls: len(e.pendingCalls), Stats: e.core.Stats(),
 		Leaving: e.leavingMessage().Leaving.Servers,
 	}
-	if e.up != nil {
-		d.Upstream = e.up.Peer.Name
+	if e.upstream != nil {
+		d.Upstream = e.upstream.Peer.Name
 	}
 	for name, a := range e.agents {
 		s := ServerDump{Name: name, Role: a.placed.Role, Up: a.link != nil, Leaving: a.leaving || e.leaving[name]}
@@ -77,7 +77,7 @@
 	spent, denied := e.core.RetryCounts()
 	metric.Retries.WithLabelValues(name, "allowed").Set(float64(spent))
 	metric.Retries.WithLabelValues(name, "denied").Set(float64(denied))
-	metric.Revision.WithLabelValues(name).Set(float64(e.inForce()))
+	metric.Revision.WithLabelValues(name).Set(float64(e.revisionInForce()))
 	metric.Age.WithLabelValues(name).Set(clock.VM.Since(e.store.Since()).Seconds())
 	degraded := 0.0
 	if e.degraded {
@@ -100,10 +100,10 @@
 	for _, a := range e.agents {
 		add(a.link)
 	}
-	for l := range e.down {
+	for l := range e.downstream {
 		add(l)
 	}
-	add(e.up)
+	add(e.upstream)
 	return sum
 }
 
@@ -118,7 +118,7 @@
 func (e *Entry) Revision() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.inForce()
+	return e.revisionInForce()
 }
 
 // OpenLinks counts the open links to agents.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -43,15 +43,15 @@
 
 // Times of the entry.
 const (
-	beatEvery = 2 * time.Second
-	redial    = 100 * time.Millisecond
-	maxRedial = 2 * time.Second
+	heartbeatInterval = 2 * time.Second
+	minRedialDelay    = 100 * time.Millisecond
+	maxRedialDelay    = 2 * time.Second
 	// linkGrace is how long the work at an agent outlives the loss of its link.
-	linkGrace = time.Second
+	reconnectTimeout = time.Second
 	// bootWait is how long an entry that starts waits for control before it
 	// asks the peers of its site.
-	bootWait = 3 * time.Second
-	records  = 4096
+	controlTimeout = 3 * time.Second
+	maxRecords     = 4096
 )
 
 // Entry is the process.
@@ -71,31 +71,31 @@
 	core     *router.Core
 	// fleet are the limits of the fleet, and limits those of each model in the
 	// first pool of this zone that prefills it; worked out once a revision.
-	fleet   settings.Effective
-	limits  map[string]settings.Effective
-	flows   map[string]*Flow
-	agents  map[string]*agentLink
-	down    map[*wire.Link]bool // relay links to processes below
-	up      *wire.Link
-	leaving map[string]bool
-	keys    map[string]*Flow // open flows by customer and key
-	claims  map[string]*claimWait
-	records map[string]*recordWait // by attempt
+	fleetLimits    settings.Effective
+	limitsByModel  map[string]settings.Effective
+	flows          map[string]*Flow
+	agents         map[string]*agentLink
+	downstream     map[*wire.Link]bool // relay links to processes below
+	upstream       *wire.Link
+	leaving        map[string]bool
+	flowsByKey     map[string]*Flow // open flows by customer and key
+	pendingClaims  map[string]*pendingClaim
+	pendingRecords map[string]*pendingRecord // by attempt
 	// recordTimeout is how long an outcome waits to be taken: claimTimeout, but in tests.
-	recordTimeout time.Duration
-	calls         map[string]*callWait
-	draining      bool
-	started       time.Time
-	dirty         chan struct{}  // settings to write to the disk
-	story         *decision.Ring // records of plain calls
-	zones         []wire.ZoneFree
-	borrowed      map[string]time.Time // servers of other zones, until when
-	short         map[string]time.Time // when this zone last had no room for a model
-	holder        *quota.Holder
-	broker        *quota.Broker
-	askedAt       time.Time // of the last wish out of turn
-	removing      bool      // a server that is out of the settings still has work
-	beats         int
+	recordTimeout     time.Duration
+	pendingCalls      map[string]*pendingCall
+	draining          bool
+	started           time.Time
+	persistSignal     chan struct{}  // settings to write to the disk
+	callRecords       *decision.Ring // records of plain calls
+	zoneCapacity      []wire.ZoneFree
+	borrowed          map[string]time.Time // servers of other zones, until when
+	shortages         map[string]time.Time // when this zone last had no room for a model
+	holder            *quota.Holder
+	broker            *quota.Broker
+	sharesRequestedAt time.Time // of the last wish out of turn
+	removalPending    bool      // a server that is out of the settings still has work
+	heartbeats        int
 }
 
 // Start returns a running entry.
@@ -106,25 +106,25 @@
 	e := &Entry{
 		cfg: cfg, log: cfg.Log.With("role", "entry", "name", cfg.Name), epoch: now.UnixNano(),
 		ctx: ctx, cancel: cancel, flows: map[string]*Flow{}, agents: map[string]*agentLink{},
-		down: map[*wire.Link]bool{}, leaving: map[string]bool{}, keys: map[string]*Flow{},
-		claims: map[string]*claimWait{}, records: map[string]*recordWait{}, recordTimeout: claimTimeout, calls: map[string]*callWait{}, started: now,
-		borrowed: map[string]time.Time{}, short: map[string]time.Time{},
-		holder: quota.NewHolder(), broker: quota.NewBroker(), story: decision.NewRing(records), dirty: make(chan struct{}, 1),
+		downstream: map[*wire.Link]bool{}, leaving: map[string]bool{}, flowsByKey: map[string]*Flow{},
+		pendingClaims: map[string]*pendingClaim{}, pendingRecords: map[string]*pendingRecord{}, recordTimeout: claimTimeout, pendingCalls: map[string]*pendingCall{}, started: now,
+		borrowed: map[string]time.Time{}, shortages: map[string]time.Time{},
+		holder: quota.NewHolder(), broker: quota.NewBroker(), callRecords: decision.NewRing(maxRecords), persistSignal: make(chan struct{}, 1),
 	}
 	e.dialer.Log = e.log
 	e.core = router.New(placement.NewView(cfg.Zone, rng), router.Options{
-		Policy: router.DefaultPolicy(), MaxRecords: records, Name: cfg.Name,
+		Policy: router.DefaultPolicy(), MaxRecords: maxRecords, Name: cfg.Name,
 		QueueLimit: 1, StallAfter: time.Second,
 	})
 	if cfg.SettingsFile != nil {
-		e.loadKept()
-		e.wg.Go(e.keepLoop)
+		e.loadPersisted()
+		e.wg.Go(e.persistLoop)
 	}
 	e.wg.Go(e.upstreamLoop)
 	e.wg.Go(e.tickLoop)
-	e.wg.Go(e.beatLoop)
+	e.wg.Go(e.heartbeatLoop)
 	if len(cfg.Peers) > 0 {
-		e.wg.Go(e.bootLoop)
+		e.wg.Go(e.peerSettingsLoop)
 	}
 	if cfg.Platform != "" {
 		e.wg.Go(e.platformLoop)
@@ -135,7 +135,7 @@
 
 // Handler serves the links of entries below, if this one is a relay.
 func (e *Entry) Handler() http.Handler {
-	return wire.Handler(e.log, e.options(), e.serveDown)
+	return wire.Handler(e.log, e.options(), e.serveDownstream)
 }
 
 func (e *Entry) options() wire.Options {
@@ -171,7 +171,7 @@
 func (e *Entry) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.flows) + len(e.calls) + len(e.claims) + len(e.records)
+	return len(e.flows) + len(e.pendingCalls) + len(e.pendingClaims) + len(e.pendingRecords)
 }
 
 // Close ends the entry at once.
@@ -181,10 +181,10 @@
 	for _, a := range e.agents {
 		a.stop()
 	}
-	if e.up != nil {
-		e.up.Close()
+	if e.upstream != nil {
+		e.upstream.Close()
 	}
-	for l := range e.down {
+	for l := range e.downstream {
 		l.Close()
 	}
 	e.mu.Unlock()
@@ -208,24 +208,24 @@
 	}
 }
 
-func (e *Entry) beatLoop() {
-	t := time.NewTicker(beatEvery)
+func (e *Entry) heartbeatLoop() {
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-e.ctx.Done():
 			return
 		case <-t.C:
-			e.beat()
+			e.sendHeartbeats()
 		}
 	}
 }
 
 // beat sends one heartbeat on every link; it renews all leases of this entry.
-func (e *Entry) beat() {
+func (e *Entry) sendHeartbeats() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	frame, err := wire.Marshal(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.inForce()}})
+	frame, err := wire.Marshal(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.revisionInForce()}})
 	if err != nil {
 		return
 	}
@@ -234,44 +234,44 @@
 			_ = a.link.SendFrame(frame)
 		}
 	}
-	for l := range e.down {
+	for l := range e.downstream {
 		_ = l.SendFrame(frame)
 	}
-	if e.up != nil {
-		_ = e.up.SendFrame(frame)
+	if e.upstream != nil {
+		_ = e.upstream.SendFrame(frame)
 	}
-	e.beats++
-	if e.mayAct() {
-		e.slowBeat(clock.VM.Now())
+	e.heartbeats++
+	if e.settingsUsable() {
+		e.runPeriodicTasks(clock.VM.Now())
 	}
 }
 
 // slowBeat does what is due every few heartbeats. Callers hold the lock.
-func (e *Entry) slowBeat(now time.Time) {
-	if e.beats%summaryBeats == 0 {
-		e.tellSummary()
+func (e *Entry) runPeriodicTasks(now time.Time) {
+	if e.heartbeats%summaryHeartbeats == 0 {
+		e.sendSummary()
 	}
-	if e.beats%shareBeats == 0 {
-		e.askShares(now)
+	if e.heartbeats%shareHeartbeats == 0 {
+		e.requestShares(now)
 	}
-	e.spill(now)
-	if e.removing {
-		e.apply(now)
+	e.borrowServers(now)
+	if e.removalPending {
+		e.applySettings(now)
 	}
 }
 
 // tellSummary tells control what this zone has, if this entry has a link to it.
 // Callers hold the lock.
-func (e *Entry) tellSummary() {
-	if e.up != nil && e.up.Peer.Role == wire.RoleControl && e.mayAct() {
-		_ = e.up.Send(&wire.Message{Summary: e.summary()})
+func (e *Entry) sendSummary() {
+	if e.upstream != nil && e.upstream.Peer.Role == wire.RoleControl && e.settingsUsable() {
+		_ = e.upstream.Send(&wire.Message{Summary: e.summary()})
 	}
 }
 
 // Heartbeats between two summaries and two wishes for shares.
 const (
-	summaryBeats = 2
-	shareBeats   = 1
+	summaryHeartbeats = 2
+	shareHeartbeats   = 1
 )
 
 // Ready tells whether the entry can serve, and if not, why. A degraded entry
@@ -282,7 +282,7 @@
 	switch {
 	case e.draining:
 		return false, "draining"
-	case !e.mayAct():
+	case !e.settingsUsable():
 		return false, "no confirmed settings yet"
 	case e.degraded:
 		return true, "degraded: settings from the site's peers, control is out of reach"
@@ -297,5 +297,5 @@
 	if rec, ok := e.core.Explain(id); ok {
 		return rec, true
 	}
-	return e.story.Find(id)
+	return e.callRecords.Find(id)
 }
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -30,32 +30,32 @@
 }
 
 // bufferedParts bounds the tokens that wait for a slow reader.
-const bufferedParts = 256
+const maxBufferedParts = 256
 
 // Flow is one open request and the way of its answer to the caller.
 type Flow struct {
 	// ID names the request in logs, records and the X-Request-Id header.
 	ID string
 
-	entry    *Entry
-	key      string
-	req      engine.Request
-	asm      stream.Assembler
-	parts    chan stream.Chunk
-	once     sync.Once
-	err      error // set before parts is closed
-	decodeAt string
-	finish   string // why the answer ended
-	claim    *onceClaim
+	entry        *Entry
+	key          string
+	req          engine.Request
+	asm          stream.Assembler
+	parts        chan stream.Chunk
+	once         sync.Once
+	err          error // set before parts is closed
+	decodeServer string
+	finishReason string // why the answer ended
+	claim        *onceClaim
 	// start gives the request to the router; nil once that is done.
-	start   func(now time.Time)
-	class   string
-	target  settings.Class
-	arrived time.Time
-	first   time.Time
-	last    time.Time
-	count   int
-	prompt  int
+	arrive       func(now time.Time)
+	class        string
+	target       settings.Class
+	arrivedAt    time.Time
+	firstTokenAt time.Time
+	lastTokenAt  time.Time
+	tokenCount   int
+	promptTokens int
 }
 
 // NewID returns a new request ID.
@@ -83,17 +83,17 @@
 }
 
 // PromptTokens returns the estimated length of the prompt.
-func (f *Flow) PromptTokens() int { return f.prompt }
+func (f *Flow) PromptTokens() int { return f.promptTokens }
 
 // Cancel tells that the caller is gone. It may be called at any time.
 func (f *Flow) Cancel() {
 	if f.entry != nil { // nil for an answer that was recorded before
-		f.entry.gone(f)
+		f.entry.callerDisconnected(f)
 	}
 }
 
 // push queues a part; it reports false if the caller does not read.
-func (f *Flow) push(p stream.Chunk) bool {
+func (f *Flow) enqueue(p stream.Chunk) bool {
 	select {
 	case f.parts <- p:
 		return true
@@ -111,28 +111,28 @@
 }
 
 // tokens keeps the times that the targets are measured by.
-func (f *Flow) tokens(now time.Time, p stream.Chunk) {
+func (f *Flow) countToken(now time.Time, p stream.Chunk) {
 	if p.Finish != "" {
 		return
 	}
-	if f.count == 0 {
-		f.first = now
+	if f.tokenCount == 0 {
+		f.firstTokenAt = now
 	}
-	f.count++
-	f.last = now
+	f.tokenCount++
+	f.lastTokenAt = now
 }
 
 // perToken returns the mean time between tokens.
-func (f *Flow) perToken() time.Duration {
-	if f.count < 2 {
+func (f *Flow) timePerToken() time.Duration {
+	if f.tokenCount < 2 {
 		return 0
 	}
-	return f.last.Sub(f.first) / time.Duration(f.count-1)
+	return f.lastTokenAt.Sub(f.firstTokenAt) / time.Duration(f.tokenCount-1)
 }
 
 // onTarget tells whether an answer that has ended met both targets.
-func (f *Flow) onTarget() bool {
-	return f.first.Sub(f.arrived) <= f.target.TTFT.D() && f.perToken() <= f.target.TBT.D()
+func (f *Flow) metTargets() bool {
+	return f.firstTokenAt.Sub(f.arrivedAt) <= f.target.TTFT.D() && f.timePerToken() <= f.target.TBT.D()
 }
 
 // request returns what the engine is asked, with the answer so far.
@@ -147,138 +147,138 @@
 
 // Submit takes a request. A refusal comes as the error of the first Next, or
 // at once.
-func (e *Entry) Submit(ctx context.Context, job ModelRequest) (*Flow, error) {
+func (e *Entry) Submit(ctx context.Context, in ModelRequest) (*Flow, error) {
 	id := NewID()
-	c, done, err := e.claimRequest(ctx, job, id)
+	c, done, err := e.claimRequest(ctx, in, id)
 	if err != nil || done != nil {
 		return done, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	f, err := e.submit(job, id, c)
+	f, err := e.submit(in, id, c)
 	if err != nil && c != nil {
-		e.tellGroupLocked(&claim.Record{Key: c.ask.Key, Attempt: c.ask.Attempt}, c.members)
+		e.sendRecordLocked(&claim.Record{Key: c.ask.Key, Attempt: c.ask.Attempt}, c.members)
 	}
 	return f, err
 }
 
-func (e *Entry) submit(job ModelRequest, id string, c *onceClaim) (*Flow, error) {
-	if !e.mayAct() {
+func (e *Entry) submit(in ModelRequest, id string, c *onceClaim) (*Flow, error) {
+	if !e.settingsUsable() {
 		return nil, fault.New(fault.NotReady, fault.StepAdmit, e.cfg.Name, "no confirmed settings yet")
 	}
 	if e.draining {
 		return nil, fault.New(fault.Draining, fault.StepAdmit, e.cfg.Name, "this entry is leaving")
 	}
-	req, limit, err := e.plan(&job)
+	req, limit, err := e.routerRequest(&in)
 	if err != nil {
 		return nil, err
 	}
 	req.ID = id
-	f := e.newFlow(job, req)
+	f := e.newFlow(in, req)
 	f.claim = c
-	e.supersede(f)
+	e.supersedeOlder(f)
 	e.flows[f.ID] = f
 	if c != nil {
-		e.limitOnce(f)
+		e.abortBeforeExpiry(f)
 	}
-	f.start = func(now time.Time) { e.perform(now, e.core.Submit(f.arrived, req, limit)) }
+	f.arrive = func(now time.Time) { e.perform(now, e.core.Submit(f.arrivedAt, req, limit)) }
 	if !e.register(f) {
-		e.start(f.arrived, f)
+		e.startFlow(f.arrivedAt, f)
 	}
-	e.askEarly(f.arrived, req.Customer)
+	e.requestSharesEarly(f.arrivedAt, req.Customer)
 	return f, nil
 }
 
-func (e *Entry) newFlow(job ModelRequest, req router.Request) *Flow {
+func (e *Entry) newFlow(in ModelRequest, req router.Request) *Flow {
 	f := &Flow{
-		ID: req.ID, entry: e, req: job.Request, parts: make(chan stream.Chunk, bufferedParts),
-		class: req.Class, arrived: clock.VM.Now(), prompt: req.Tokens,
+		ID: req.ID, entry: e, req: in.Request, parts: make(chan stream.Chunk, maxBufferedParts),
+		class: req.Class, arrivedAt: clock.VM.Now(), promptTokens: req.Tokens,
 		target: e.store.Tree().Fleet.Classes[req.Class],
 	}
-	if job.Key != "" {
-		f.key = job.Grant.Customer + "/" + job.Key
+	if in.Key != "" {
+		f.key = in.Grant.Customer + "/" + in.Key
 	}
 	return f
 }
 
 // plan turns a job into a request for the router.
-func (e *Entry) plan(job *ModelRequest) (router.Request, int, error) {
+func (e *Entry) routerRequest(in *ModelRequest) (router.Request, int, error) {
 	tree := e.store.Tree()
-	class, ok := tree.Fleet.Classes[job.Grant.Class]
+	class, ok := tree.Fleet.Classes[in.Grant.Class]
 	if !ok {
 		return router.Request{}, 0, fault.New(fault.Unauthorized, fault.StepAuth, "", "the token's class is not in the settings")
 	}
-	model, ok := tree.Fleet.Models[job.Request.Model]
+	model, ok := tree.Fleet.Models[in.Request.Model]
 	if !ok {
-		return router.Request{}, 0, fault.New(fault.UnknownModel, fault.StepAdmit, "", "no model "+job.Request.Model)
+		return router.Request{}, 0, fault.New(fault.UnknownModel, fault.StepAdmit, "", "no model "+in.Request.Model)
 	}
-	cust := tree.Fleet.Customers[job.Grant.Customer]
-	lim, ok := e.limits[job.Request.Model]
+	cust := tree.Fleet.Customers[in.Grant.Customer]
+	lim, ok := e.limitsByModel[in.Request.Model]
 	if !ok {
-		lim = e.fleet
+		lim = e.fleetLimits
 	}
-	text := job.Request.Text()
+	text := in.Request.Text()
 	tokens := EstimateTokens(text)
 	if tokens > lim.MaxPromptTokens {
 		return router.Request{}, 0, fault.New(fault.PromptTooLong, fault.StepAdmit, "",
 			fmt.Sprintf("about %d prompt tokens, at most %d", tokens, lim.MaxPromptTokens))
 	}
-	want := job.Request.Sampling.MaxTokens
+	want := in.Request.Sampling.MaxTokens
 	if want == 0 || want > lim.MaxOutputTokens {
-		job.Request.Sampling.MaxTokens = lim.MaxOutputTokens
+		in.Request.Sampling.MaxTokens = lim.MaxOutputTokens
 	}
-	job.Request.Priority = class.Priority
+	in.Request.Priority = class.Priority
 	return router.Request{
-		Customer: job.Grant.Customer, Share: cust.ShareOrOne(), Class: job.Grant.Class,
-		Model: job.Request.Model, Priority: class.Priority, Tokens: tokens, Prefixes: placement.Prefixes(text),
+		Customer: in.Grant.Customer, Share: cust.ShareOrOne(), Class: in.Grant.Class,
+		Model: in.Request.Model, Priority: class.Priority, Tokens: tokens, Prefixes: placement.Prefixes(text),
 		KVBytes: int64(tokens) * int64(model.KVPerToken), TTFT: class.TTFT.D(), TBT: class.TBT.D(), Keep: class.KeepWhenGone,
-	}, e.holder.Limit(job.Grant.Customer, lim.OpenLimit*cust.ShareOrOne()), nil
+	}, e.holder.Limit(in.Grant.Customer, lim.OpenLimit*cust.ShareOrOne()), nil
 }
 
 // gone takes the loss of the caller.
-func (e *Entry) gone(f *Flow) {
+func (e *Entry) callerDisconnected(f *Flow) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.flows[f.ID] == f {
 		event.CallerGone.Log(e.log, "request", f.ID)
-		e.cutOff(clock.VM.Now(), f, fault.CallerGone)
+		e.abort(clock.VM.Now(), f, fault.CallerGone)
 	}
 }
 
 // cutOff ends a request from this side.
-func (e *Entry) cutOff(now time.Time, f *Flow, code *fault.Code) {
+func (e *Entry) abort(now time.Time, f *Flow, code *fault.Code) {
 	if code == fault.CallerSlow {
 		event.CallerSlow.Log(e.log, "request", f.ID)
 	}
 	e.perform(now, e.core.Cancel(now, f.ID))
-	e.end(f, fault.New(code, fault.StepStream, "caller", code.Text))
+	e.endFlow(f, fault.New(code, fault.StepStream, "caller", code.Text))
 }
 
 // end ends a flow. That of a request with a claim is closed once the voters know of
 // its outcome. Callers hold the lock.
-func (e *Entry) end(f *Flow, err error) {
+func (e *Entry) endFlow(f *Flow, err error) {
 	delete(e.flows, f.ID)
-	if settled := e.settle(f, err); settled != nil {
+	if recorded := e.recordOutcome(f, err); recorded != nil {
 		go func() {
-			<-settled
+			<-recorded
 			f.close(err)
 		}()
 	} else {
 		f.close(err)
 	}
-	if e.keys[f.key] == f {
-		delete(e.keys, f.key)
+	if e.flowsByKey[f.key] == f {
+		delete(e.flowsByKey, f.key)
 	}
-	e.measure(f, err)
+	e.observe(f, err)
 }
 
-func (e *Entry) refused(x router.Refuse) {
+func (e *Entry) handleRefusal(x router.Refuse) {
 	event.RequestRefused.Log(e.log, "request", x.Req, "code", x.Code.ID, "detail", x.Detail)
 	if f := e.flows[x.Req]; f != nil {
 		if x.Code == fault.TargetOutOfReach || x.Code == fault.NoServer {
-			e.short[f.req.Model] = clock.VM.Now()
+			e.shortages[f.req.Model] = clock.VM.Now()
 		}
-		e.end(f, refusal(x))
+		e.endFlow(f, refusal(x))
 	}
 }
 
@@ -288,10 +288,10 @@
 	return err
 }
 
-func (e *Entry) failed(x router.Fail) {
+func (e *Entry) handleFailure(x router.Fail) {
 	event.RequestFailed.Log(e.log, "request", x.Req, "code", x.Code.ID, "step", x.Step, "peer", x.Peer, "detail", x.Detail)
 	if f := e.flows[x.Req]; f != nil {
-		e.end(f, fault.New(x.Code, x.Step, x.Peer, x.Detail))
+		e.endFlow(f, fault.New(x.Code, x.Step, x.Peer, x.Detail))
 	}
 }
 
@@ -299,7 +299,7 @@
 func (e *Entry) Grant(token string) (settings.Grant, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.mayAct() {
+	if !e.settingsUsable() {
 		return settings.Grant{}, fault.New(fault.NotReady, fault.StepAuth, e.cfg.Name, "no confirmed settings yet")
 	}
 	g, ok := e.grants[settings.HashToken(token)]
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -16,14 +16,14 @@
 // supersede ends an open request with the same key: its caller has asked
 // again, and one of the two must not be answered. One at another entry is ended
 // through the key's home agent.
-func (e *Entry) supersede(f *Flow) {
+func (e *Entry) supersedeOlder(f *Flow) {
 	if f.key == "" {
 		return
 	}
-	if old := e.keys[f.key]; old != nil {
-		e.cutOff(f.arrived, old, fault.Superseded)
+	if old := e.flowsByKey[f.key]; old != nil {
+		e.abort(f.arrivedAt, old, fault.Superseded)
 	}
-	e.keys[f.key] = f
+	e.flowsByKey[f.key] = f
 }
 
 // register tells the key's home agent of a request, and reports whether the
@@ -34,54 +34,54 @@
 	if f.key == "" {
 		return false
 	}
-	home := e.homeOf(f.key)
-	if home == "" || !e.toAgent(home, &wire.Message{Register: &wire.Register{Key: f.key, Req: f.ID}}) {
+	home := e.homeAgent(f.key)
+	if home == "" || !e.sendToAgent(home, &wire.Message{Register: &wire.Register{Key: f.key, Req: f.ID}}) {
 		return false
 	}
 	time.AfterFunc(registerTimeout, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.registered(clock.VM.Now(), f.ID)
+		e.startRegistered(clock.VM.Now(), f.ID)
 	})
 	return true
 }
 
 // registered starts a request whose home agent has answered, or is not waited
 // for any more. Callers hold the lock.
-func (e *Entry) registered(now time.Time, id string) {
+func (e *Entry) startRegistered(now time.Time, id string) {
 	if f := e.flows[id]; f != nil {
-		e.start(now, f)
+		e.startFlow(now, f)
 	}
 }
 
 // start gives a request to the router, once.
-func (e *Entry) start(now time.Time, f *Flow) {
-	if start := f.start; start != nil {
-		f.start = nil
+func (e *Entry) startFlow(now time.Time, f *Flow) {
+	if start := f.arrive; start != nil {
+		f.arrive = nil
 		start(now)
 	}
 }
 
 // homeOf returns the agent of this zone that keeps a key, by the highest hash,
 // so that all entries of the zone that see the same agents agree.
-func (e *Entry) homeOf(key string) string {
-	best, most := "", uint64(0)
+func (e *Entry) homeAgent(key string) string {
+	best, maxSum := "", uint64(0)
 	for name, a := range e.agents {
 		if a.link == nil || a.placed.Zone != e.cfg.Zone {
 			continue
 		}
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(name + "/" + key))
-		if sum := h.Sum64(); best == "" || sum > most {
-			best, most = name, sum
+		if sum := h.Sum64(); best == "" || sum > maxSum {
+			best, maxSum = name, sum
 		}
 	}
 	return best
 }
 
 // superseded ends a request whose caller has asked again at another entry.
-func (e *Entry) superseded(now time.Time, m *wire.Superseded) {
+func (e *Entry) handleSuperseded(now time.Time, m *wire.Superseded) {
 	if f := e.flows[m.Req]; f != nil {
-		e.cutOff(now, f, fault.Superseded)
+		e.abort(now, f, fault.Superseded)
 	}
 }
--- a/entry/leaving.go
+++ b/entry/leaving.go
@@ -13,33 +13,33 @@
 )
 
 // platformEvery is the time between two looks at the platform's list.
-const platformEvery = time.Second
+const vmListInterval = time.Second
 
 func (e *Entry) platformLoop() {
 	c := vmlist.NewClient(e.cfg.Platform)
-	lost := false
+	failing := false
 	for e.ctx.Err() == nil {
 		vms, err := e.listVMs(c)
-		if err != nil && !lost && e.ctx.Err() == nil {
+		if err != nil && !failing && e.ctx.Err() == nil {
 			event.PlatformLost.Log(e.log, "error", fault.From(err))
 		}
-		lost = err != nil
+		failing = err != nil
 		if err == nil {
-			e.takeVMs(vms)
+			e.applyVMList(vms)
 		}
-		wait.For(e.ctx, platformEvery)
+		wait.For(e.ctx, vmListInterval)
 	}
 }
 
 func (e *Entry) listVMs(c *vmlist.Client) ([]vmlist.VM, error) {
-	ctx, cancel := context.WithTimeout(e.ctx, platformEvery)
+	ctx, cancel := context.WithTimeout(e.ctx, vmListInterval)
 	defer cancel()
 	return c.List(ctx)
 }
 
 // takeVMs keeps the names that are leaving. A VM that is missing from the list
 // is no sign: the list lags, and a server that is gone has no link.
-func (e *Entry) takeVMs(vms []vmlist.VM) {
+func (e *Entry) applyVMList(vms []vmlist.VM) {
 	var names []string
 	for _, vm := range vms {
 		if vm.State == vmlist.Leaving {
@@ -63,15 +63,15 @@
 	}
 	for n := range e.leaving {
 		if !next[n] {
-			own := e.agents[n] != nil && e.agents[n].leaving
-			e.core.View().SetLeaving(n, own)
+			reported := e.agents[n] != nil && e.agents[n].leaving
+			e.core.View().SetLeaving(n, reported)
 		}
 	}
 	e.leaving = next
 	for n := range next {
 		e.core.View().SetLeaving(n, true)
 	}
-	for l := range e.down {
+	for l := range e.downstream {
 		_ = l.Send(e.leavingMessage())
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,23 +10,23 @@
 )
 
 // measure counts the outcome of a request.
-func (e *Entry) measure(f *Flow, err error) {
+func (e *Entry) observe(f *Flow, err error) {
 	outcome := "met"
 	var fe *fault.Error
 	switch {
 	case errors.As(err, &fe):
 		outcome = fe.Code.ID
-	case !f.onTarget():
+	case !f.metTargets():
 		outcome = "late"
 	}
 	metric.Requests.WithLabelValues(f.class, outcome).Inc()
-	if f.count > 0 {
-		metric.FirstToken.WithLabelValues(f.class).Observe(f.first.Sub(f.arrived).Seconds())
+	if f.tokenCount > 0 {
+		metric.FirstToken.WithLabelValues(f.class).Observe(f.firstTokenAt.Sub(f.arrivedAt).Seconds())
 	}
-	if f.count > 1 {
-		metric.BetweenTokens.WithLabelValues(f.class).Observe(f.perToken().Seconds())
+	if f.tokenCount > 1 {
+		metric.BetweenTokens.WithLabelValues(f.class).Observe(f.timePerToken().Seconds())
 	}
 	if err == nil {
-		event.RequestDone.Log(e.log, "request", f.ID, "tokens", f.count, "first_token", f.first.Sub(f.arrived).Round(time.Millisecond))
+		event.RequestDone.Log(e.log, "request", f.ID, "tokens", f.tokenCount, "first_token", f.firstTokenAt.Sub(f.arrivedAt).Round(time.Millisecond))
 	}
 }
--- a/entry/boot.go
+++ b/entry/peer_settings.go
@@ -13,13 +13,13 @@
 // bootLoop lets an entry start at a site that is cut off: if control stays out
 // of reach, it takes the highest revision that a majority of the site's peers
 // can tell of, and serves on it as degraded.
-func (e *Entry) bootLoop() {
-	wait.For(e.ctx, bootWait)
+func (e *Entry) peerSettingsLoop() {
+	wait.For(e.ctx, controlTimeout)
 	for e.ctx.Err() == nil {
 		e.mu.Lock()
-		done := e.mayAct()
+		done := e.settingsUsable()
 		e.mu.Unlock()
-		if done || e.askPeers() {
+		if done || e.fetchFromPeers() {
 			return
 		}
 		wait.For(e.ctx, time.Second)
@@ -27,32 +27,32 @@
 }
 
 // askPeers asks all peers at once; it reports whether a majority answered.
-func (e *Entry) askPeers() bool {
+func (e *Entry) fetchFromPeers() bool {
 	answers := make(chan *wire.Settings, len(e.cfg.Peers))
 	for _, addr := range e.cfg.Peers {
-		e.wg.Go(func() { answers <- e.askPeer(addr) })
+		e.wg.Go(func() { answers <- e.fetchFromPeer(addr) })
 	}
-	heard := 0
+	answered := 0
 	var best *wire.Settings
 	for range e.cfg.Peers {
 		m := <-answers
 		if m == nil {
 			continue
 		}
-		heard++
+		answered++
 		if best == nil || m.Revision > best.Revision {
 			best = m
 		}
 	}
-	if heard <= len(e.cfg.Peers)/2 || best == nil {
+	if answered <= len(e.cfg.Peers)/2 || best == nil {
 		return false
 	}
-	e.adopt(best)
+	e.activateUnconfirmed(best)
 	return true
 }
 
 // askPeer returns the settings of one peer, or nil.
-func (e *Entry) askPeer(addr string) *wire.Settings {
+func (e *Entry) fetchFromPeer(addr string) *wire.Settings {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Second)
 	defer cancel()
 	o := e.options()
@@ -77,10 +77,10 @@
 }
 
 // adopt puts the site's settings in force without control's confirmation.
-func (e *Entry) adopt(m *wire.Settings) {
+func (e *Entry) activateUnconfirmed(m *wire.Settings) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.mayAct() {
+	if e.settingsUsable() {
 		return
 	}
 	now := clock.VM.Now()
@@ -90,5 +90,5 @@
 	}
 	e.degraded = true
 	event.SettingsUnconfirmed.Log(e.log, "revision", e.store.Revision())
-	e.inForceNow(now)
+	e.activateSettings(now)
 }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -15,11 +15,11 @@
 
 // mayAct tells whether the entry may act on the settings that it holds.
 // Callers hold the lock.
-func (e *Entry) mayAct() bool { return e.store.Confirmed() || e.degraded }
+func (e *Entry) settingsUsable() bool { return e.store.Confirmed() || e.degraded }
 
 // inForce returns the revision that the entry acts on; zero if none.
-func (e *Entry) inForce() uint64 {
-	if !e.mayAct() {
+func (e *Entry) revisionInForce() uint64 {
+	if !e.settingsUsable() {
 		return 0
 	}
 	return e.store.Revision()
@@ -27,7 +27,7 @@
 
 // loadKept reads the settings that the entry kept on its disk. It does not act
 // on them before they are confirmed.
-func (e *Entry) loadKept() {
+func (e *Entry) loadPersisted() {
 	rev, text, err := e.cfg.SettingsFile.Read()
 	if err == nil && rev > 0 {
 		err = e.store.Load(rev, text)
@@ -39,18 +39,18 @@
 
 // takeSettings takes settings from upstream or from a peer. Callers hold the
 // lock.
-func (e *Entry) takeSettings(now time.Time, l *wire.Link, m *wire.Settings) {
-	acted := e.mayAct()
+func (e *Entry) applyUpdate(now time.Time, l *wire.Link, m *wire.Settings) {
+	wasUsable := e.settingsUsable()
 	switch e.store.Apply(now, m) {
 	case spread.NeedFullText:
 		_ = l.Send(&wire.Message{Pull: &wire.Pull{}})
 	case spread.Invalid:
 		event.SettingsBad.Log(e.log, "peer", l.Peer.Name, "revision", m.Revision)
 	case spread.Applied:
-		e.inForceNow(now)
+		e.activateSettings(now)
 	case spread.Stale:
-		if !acted && e.mayAct() {
-			e.inForceNow(now)
+		if !wasUsable && e.settingsUsable() {
+			e.activateSettings(now)
 		}
 	}
 	if m.Confirmed && e.store.Confirmed() {
@@ -59,42 +59,42 @@
 }
 
 // inForceNow puts the held revision in force and passes it on.
-func (e *Entry) inForceNow(now time.Time) {
-	if !e.mayAct() {
+func (e *Entry) activateSettings(now time.Time) {
+	if !e.settingsUsable() {
 		return
 	}
-	e.keep()
+	e.signalPersist()
 	event.SettingsInForce.Log(e.log, "revision", e.store.Revision())
-	e.apply(now)
+	e.applySettings(now)
 	// An agent has links from every entry of its zone. All tell it that there is
 	// a new revision, and it asks one of them.
-	beat := &wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.inForce()}}
+	heartbeat := &wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.revisionInForce()}}
 	for _, a := range e.agents {
 		if a.link != nil {
-			_ = a.link.Send(beat)
+			_ = a.link.Send(heartbeat)
 		}
 	}
-	for l := range e.down {
-		e.push(l)
+	for l := range e.downstream {
+		e.sendUpdate(l)
 	}
 }
 
 // keep wakes the loop that writes the settings to the disk.
-func (e *Entry) keep() {
+func (e *Entry) signalPersist() {
 	select {
-	case e.dirty <- struct{}{}:
+	case e.persistSignal <- struct{}{}:
 	default:
 	}
 }
 
 // keepLoop writes the newest settings to the disk, outside of the lock. The
 // file is a help for the next start, so nothing waits for it.
-func (e *Entry) keepLoop() {
+func (e *Entry) persistLoop() {
 	for {
 		select {
 		case <-e.ctx.Done():
 			return
-		case <-e.dirty:
+		case <-e.persistSignal:
 		}
 		e.mu.Lock()
 		rev, text := e.store.Revision(), e.store.Text()
@@ -107,49 +107,49 @@
 
 // push sends the settings in force as a delta to the revision before; a peer
 // that lacks that one asks for the whole text.
-func (e *Entry) push(l *wire.Link) {
-	if m := e.store.UpdateFor(e.store.Revision() - 1); m != nil && e.mayAct() {
+func (e *Entry) sendUpdate(l *wire.Link) {
+	if m := e.store.UpdateFor(e.store.Revision() - 1); m != nil && e.settingsUsable() {
 		_ = l.Send(&wire.Message{Settings: m})
 	}
 }
 
 // answerPull sends a peer what it lacks.
 func (e *Entry) answerPull(l *wire.Link, p *wire.Pull) {
-	if m := e.store.UpdateFor(p.Have); m != nil && e.mayAct() {
+	if m := e.store.UpdateFor(p.Have); m != nil && e.settingsUsable() {
 		_ = l.Send(&wire.Message{Settings: m})
 	}
 }
 
 // apply brings the entry in line with the settings in force.
-func (e *Entry) apply(now time.Time) {
+func (e *Entry) applySettings(now time.Time) {
 	tree := e.store.Tree()
 	e.grants = tree.Grants()
-	e.fleet = tree.EffectiveAt("", "", "")
-	e.core.SetLimits(e.fleet.QueueLimit, e.fleet.RetryPercent, e.fleet.StallAfter)
-	seen := map[string]bool{}
+	e.fleetLimits = tree.EffectiveAt("", "", "")
+	e.core.SetLimits(e.fleetLimits.QueueLimit, e.fleetLimits.RetryPercent, e.fleetLimits.StallAfter)
+	listed := map[string]bool{}
 	servers := tree.Servers()
-	e.limits = e.modelLimits(tree, servers)
+	e.limitsByModel = e.modelLimits(tree, servers)
 	for _, p := range servers {
-		if p.Zone != e.cfg.Zone && len(servers) > smallFleet && !e.linked(p) {
+		if p.Zone != e.cfg.Zone && len(servers) > smallFleet && !e.keepsLink(p) {
 			continue
 		}
-		seen[p.Name] = true
+		listed[p.Name] = true
 		e.applyServer(p)
 	}
-	e.removing = false
+	e.removalPending = false
 	for name, a := range e.agents {
-		if !seen[name] {
-			e.remove(now, name, a)
+		if !listed[name] {
+			e.removeServer(now, name, a)
 		}
 	}
 }
 
 // remove takes a server out that the settings do not have any more. Work in
 // progress there ends first; until then the server counts as leaving.
-func (e *Entry) remove(now time.Time, name string, a *agentLink) {
+func (e *Entry) removeServer(now time.Time, name string, a *agentLink) {
 	if s := e.core.View().Server(name); s != nil && s.OwnSlots() > 0 {
 		e.core.View().SetLeaving(name, true)
-		e.removing = true
+		e.removalPending = true
 		return
 	}
 	a.stop()
@@ -188,21 +188,21 @@
 	if a != nil {
 		a.stop()
 	}
-	e.dialAgent(p)
+	e.startAgentLink(p)
 }
 
 // upstreamLoop keeps a link to one control replica or relay.
 func (e *Entry) upstreamLoop() {
-	again := redial
+	delay := minRedialDelay
 	for i := 0; e.ctx.Err() == nil && len(e.cfg.Upstream) > 0; i++ {
 		addr := e.cfg.Upstream[i%len(e.cfg.Upstream)]
 		l, err := e.dialer.Dial(e.ctx, addr, e.options())
 		if err != nil {
-			wait.For(e.ctx, again)
-			again = min(2*again, maxRedial)
+			wait.For(e.ctx, delay)
+			delay = min(2*delay, maxRedialDelay)
 			continue
 		}
-		again = redial
+		delay = minRedialDelay
 		e.runUpstream(l)
 	}
 }
@@ -210,63 +210,63 @@
 func (e *Entry) runUpstream(l *wire.Link) {
 	event.LinkUp.Log(e.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Speaks())
 	e.mu.Lock()
-	e.up = l
+	e.upstream = l
 	_ = l.Send(&wire.Message{Pull: &wire.Pull{Have: e.store.Revision()}})
 	e.mu.Unlock()
-	err := l.Run(e.ctx, func(m *wire.Message) { e.handleUp(l, m) })
+	err := l.Run(e.ctx, func(m *wire.Message) { e.handleUpstream(l, m) })
 	e.mu.Lock()
-	e.up = nil
+	e.upstream = nil
 	e.mu.Unlock()
 	if e.ctx.Err() == nil {
 		event.LinkDown.Log(e.log, "peer", l.Peer.Name, "why", fault.From(err))
-		wait.For(e.ctx, redial)
+		wait.For(e.ctx, minRedialDelay)
 	}
 }
 
-func (e *Entry) handleUp(l *wire.Link, m *wire.Message) {
+func (e *Entry) handleUpstream(l *wire.Link, m *wire.Message) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case m.Settings != nil:
-		e.takeSettings(clock.VM.Now(), l, m.Settings)
+		e.applyUpdate(clock.VM.Now(), l, m.Settings)
 	case m.Heartbeat != nil:
 		if m.Heartbeat.Revision > e.store.Revision() {
 			_ = l.Send(&wire.Message{Pull: &wire.Pull{Have: e.store.Revision()}})
 		}
 	case m.Order != nil:
-		e.passOrder(m)
+		e.forwardOrder(m)
 	case m.Leaving != nil:
 		e.setLeaving(m.Leaving.Servers)
 	case m.Zones != nil:
-		e.takeZones(m)
+		e.handleZones(m)
 	case m.Lent != nil:
-		e.takeLoans(m.Lent)
+		e.applyGrants(m.Lent)
 	}
 }
 
 // serveDown runs the link of an entry that uses this one as its relay.
-func (e *Entry) serveDown(l *wire.Link) {
+func (e *Entry) serveDownstream(l *wire.Link) {
 	e.mu.Lock()
-	e.down[l] = true
+	e.downstream[l] = true
 	_ = l.Send(e.leavingMessage())
 	e.mu.Unlock()
-	_ = l.Run(e.ctx, func(m *wire.Message) { e.handleDown(l, m) })
+	_ = l.Run(e.ctx, func(m *wire.Message) { e.handleDownstream(l, m) })
 	e.mu.Lock()
-	delete(e.down, l)
+	delete(e.downstream, l)
 	e.mu.Unlock()
 }
 
-func (e *Entry) handleDown(l *wire.Link, m *wire.Message) {
+func (e *Entry) handleDownstream(l *wire.Link, m *wire.Message) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case m.Pull != nil:
 		e.answerPull(l, m.Pull)
-	case m.Heartbeat != nil && m.Heartbeat.Revision < e.inForce():
+	case m.Heartbeat != nil && m.Heartbeat.Revision < e.revisionInForce():
 		e.answerPull(l, &wire.Pull{Have: m.Heartbeat.Revision})
-	case m.Ordered != nil && e.up != nil:
-		_ = e.up.Send(m)
+	case m.Ordered != nil && e.upstream != nil:
+		_ = e.upstream.Send(m)
 	case m.Shares != nil:
-		e.lend(clock.VM.Now(), l, m.Shares)
+		e.grantShares(clock.VM.Now(), l, m.Shares)
 	}
 }
--- a/entry/shares.go
+++ b/entry/shares.go
@@ -8,32 +8,32 @@
 )
 
 // askAgain is the least time between two wishes out of turn.
-const askAgain = 200 * time.Millisecond
+const minShareInterval = 200 * time.Millisecond
 
 // askEarly asks as soon as a customer's requests outgrow the last wish. Callers
 // hold the lock.
-func (e *Entry) askEarly(now time.Time, customer string) {
-	if e.holder.NeedsMore(customer, e.core.OpenOf(customer)) && now.Sub(e.askedAt) >= askAgain {
-		e.askedAt = now
-		e.askShares(now)
+func (e *Entry) requestSharesEarly(now time.Time, customer string) {
+	if e.holder.NeedsMore(customer, e.core.OpenOf(customer)) && now.Sub(e.sharesRequestedAt) >= minShareInterval {
+		e.sharesRequestedAt = now
+		e.requestShares(now)
 	}
 }
 
 // askShares asks upstream for the units of customers' limits that this entry
 // and the entries below it need. Callers hold the lock.
-func (e *Entry) askShares(now time.Time) {
+func (e *Entry) requestShares(now time.Time) {
 	used := e.core.OpenByCustomer()
 	for _, c := range e.broker.Customers() {
 		used[c] += (e.broker.Wanted(now, c) + 1) / 2 // a wish is twice the use
 	}
 	asks := e.holder.Asks(used)
-	if len(asks) == 0 || e.up == nil {
+	if len(asks) == 0 || e.upstream == nil {
 		return // what was lent stays until upstream is back
 	}
-	_ = e.up.Send(&wire.Message{Shares: &wire.Shares{Asks: asks}})
+	_ = e.upstream.Send(&wire.Message{Shares: &wire.Shares{Asks: asks}})
 }
 
-func (e *Entry) takeLoans(m *wire.Lent) {
+func (e *Entry) applyGrants(m *wire.Lent) {
 	for _, g := range m.Grants {
 		e.holder.ApplyGrant(g)
 	}
@@ -41,21 +41,21 @@
 
 // lend passes units on to an entry below, out of those that this relay holds
 // and does not use itself. Callers hold the lock.
-func (e *Entry) lend(now time.Time, l *wire.Link, m *wire.Shares) {
+func (e *Entry) grantShares(now time.Time, l *wire.Link, m *wire.Shares) {
 	used := e.core.OpenByCustomer()
 	out := &wire.Lent{}
 	for _, a := range m.Asks {
-		mine := e.holder.Units(a.Customer) - used[a.Customer]
-		out.Grants = append(out.Grants, e.broker.Lease(now, l.Peer.Name, a, mine))
+		available := e.holder.Units(a.Customer) - used[a.Customer]
+		out.Grants = append(out.Grants, e.broker.Lease(now, l.Peer.Name, a, available))
 	}
 	_ = l.Send(&wire.Message{Lent: out})
-	if e.shortOf(m.Asks) {
-		e.askShares(now)
+	if e.exceedsShares(m.Asks) {
+		e.requestShares(now)
 	}
 }
 
 // shortOf tells whether those below want more than this relay holds.
-func (e *Entry) shortOf(asks []quota.Ask) bool {
+func (e *Entry) exceedsShares(asks []quota.Ask) bool {
 	for _, a := range asks {
 		if a.Want > e.holder.Units(a.Customer) {
 			return true
