--- a/agent/agent.go
+++ b/agent/agent.go
@@ -39,13 +39,13 @@
 
 // Times of the agent.
 const (
-	tickEvery   = 20 * time.Millisecond
-	cancelEvery = 500 * time.Millisecond
+	tickInterval   = 20 * time.Millisecond
+	cancelInterval = 500 * time.Millisecond
 	// orphanGrace is how long entries may claim what the engine was running
 	// when the agent restarted.
-	orphanGrace = time.Second
-	firstLease  = 5 * time.Second
-	records     = 2048
+	orphanTimeout = time.Second
+	initialLease  = 5 * time.Second
+	maxRecords    = 2048
 )
 
 // job is a piece of work for an entry.
@@ -57,8 +57,8 @@
 	// next is the index of the next token to send, for a decode.
 	next int
 	// moving tells that a KV transfer to this server is under way.
-	moving bool
-	done   *wire.Prefilled
+	importing bool
+	result    *wire.Prefilled
 }
 
 // Agent is the process beside one backend server.
@@ -73,45 +73,45 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu       sync.Mutex
-	store    spread.Store
-	work     *lease.Table
-	kv       *lease.Table
-	jobs     map[lease.ID]*job
-	links    map[string]*wire.Link // by owner
-	gate     order.Gate
-	voter    *claim.Voter
-	group    groupKey
-	models   []string
-	assets   []string
-	role     string
-	engineOK bool
-	misses   int
-	lastEnd  time.Time // end of the last prefill at the engine
-	cacheSeq uint64
-	hashes   []uint64
-	orphans  map[lease.ID]time.Time
-	calls    map[lease.ID]time.Time
-	records  *decision.Ring
-	registry *registry
+	mu             sync.Mutex
+	store          spread.Store
+	work           *lease.Table
+	kv             *lease.Table
+	jobs           map[lease.ID]*job
+	links          map[string]*wire.Link // by owner
+	gate           order.Gate
+	voter          *claim.Voter
+	claimGroup     claimGroupKey
+	models         []string
+	assets         []string
+	role           string
+	engineOK       bool
+	failedReports  int
+	lastPrefillEnd time.Time // end of the last prefill at the engine
+	cacheSeq       uint64
+	cacheHints     []uint64
+	orphans        map[lease.ID]time.Time
+	calls          map[lease.ID]time.Time
+	records        *decision.Ring
+	registry       *keyRegistry
 	// draining is for good; unlisted lasts while the settings do not have the
 	// server. Either makes it leaving.
 	draining, unlisted bool
 	pulledAt           time.Time // when settings were last asked for
-	parted             map[string]time.Time
-	beatAt             time.Time // of the last report, with the slots in use then
-	beatUsed           int
+	disconnectedAt     map[string]time.Time
+	heartbeatAt        time.Time // of the last report, with the slots in use then
+	heartbeatUsed      int
 }
 
 // Start returns a running agent.
 func Start(cfg Config) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
-	opts := lease.Options{TTL: firstLease, CancelInterval: cancelEvery}
+	opts := lease.Options{TTL: initialLease, CancelInterval: cancelInterval}
 	a := &Agent{
 		cfg: cfg, log: cfg.Log.With("role", "agent", "name", cfg.Name), epoch: clock.WallTime().UnixNano(),
-		ctx: ctx, cancel: cancel, work: lease.New(0, opts), kv: lease.New(kvSlots, opts),
+		ctx: ctx, cancel: cancel, work: lease.New(0, opts), kv: lease.New(maxKVResults, opts),
 		jobs: map[lease.ID]*job{}, links: map[string]*wire.Link{}, orphans: map[lease.ID]time.Time{},
-		calls: map[lease.ID]time.Time{}, parted: map[string]time.Time{}, records: decision.NewRing(records), registry: newRegistry(),
+		calls: map[lease.ID]time.Time{}, disconnectedAt: map[string]time.Time{}, records: decision.NewRing(maxRecords), registry: newKeyRegistry(),
 	}
 	a.dialer.Log = a.log
 	if cfg.Engine != "" {
@@ -124,13 +124,13 @@
 		a.svc = service.NewClient(cfg.Service)
 	}
 	a.wg.Go(a.tickLoop)
-	a.wg.Go(a.beatLoop)
+	a.wg.Go(a.heartbeatLoop)
 	event.Started.Log(a.log)
 	return a
 }
 
 // kvSlots bounds the prefill results that wait at one engine.
-const kvSlots = 4096
+const maxKVResults = 4096
 
 // Handler serves the links of entries and peers.
 func (a *Agent) Handler() http.Handler {
@@ -150,9 +150,9 @@
 	a.draining = true
 	a.work.SetLeaving(true)
 	a.mu.Unlock()
-	a.beat()
+	a.sendHeartbeats()
 	event.ServerLeaving.Log(a.log)
-	poll := time.NewTicker(tickEvery)
+	poll := time.NewTicker(tickInterval)
 	defer poll.Stop()
 	for ctx.Err() == nil && a.busy() {
 		select {
@@ -184,7 +184,7 @@
 }
 
 func (a *Agent) tickLoop() {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -204,26 +204,26 @@
 		if now.After(until) {
 			delete(a.orphans, id)
 			event.OrphanCancelled.Log(a.log, "request", id.Req)
-			a.effects(a.work, a.work.CancelOrphan(now, id))
+			a.perform(a.work, a.work.CancelOrphan(now, id))
 		}
 	}
-	for owner, at := range a.parted {
-		if now.Sub(at) > rejoinGrace {
-			delete(a.parted, owner)
-			a.effects(a.work, a.work.ExpireOwner(now, owner))
-			a.effects(a.kv, a.kv.ExpireOwner(now, owner))
+	for owner, at := range a.disconnectedAt {
+		if now.Sub(at) > reconnectTimeout {
+			delete(a.disconnectedAt, owner)
+			a.perform(a.work, a.work.ExpireOwner(now, owner))
+			a.perform(a.kv, a.kv.ExpireOwner(now, owner))
 		}
 	}
-	a.effects(a.work, a.work.Tick(now))
-	a.effects(a.kv, a.kv.Tick(now))
-	a.beatEarly(now)
+	a.perform(a.work, a.work.Tick(now))
+	a.perform(a.kv, a.kv.Tick(now))
+	a.sendHeartbeatsEarly(now)
 	if a.voter != nil {
 		a.voter.Tick(now)
 	}
 }
 
 // note adds a step to the record of a request. Callers hold the lock.
-func (a *Agent) note(id lease.ID, kind decision.Kind, detail string) {
+func (a *Agent) addStep(id lease.ID, kind decision.Kind, detail string) {
 	a.records.GetOrCreate(id.Req).Add(decision.Step{
 		At: clock.WallTime(), Kind: kind, Attempt: id.Attempt, Process: a.cfg.Name, Server: a.cfg.Name, Detail: detail,
 	})
--- a/agent/call.go
+++ b/agent/call.go
@@ -14,29 +14,29 @@
 
 // callMemory is how long an agent remembers the calls that it has sent, so
 // that a repeated message is no second call.
-const callMemory = time.Minute
+const callTTL = time.Minute
 
 // call sends a call to the service, once for each attempt. Callers hold the
 // lock.
-func (a *Agent) call(now time.Time, l *wire.Link, m *wire.Call) {
+func (a *Agent) handleCall(now time.Time, l *wire.Link, m *wire.Call) {
 	switch {
 	case a.svc == nil:
-		a.answer(l, &wire.Answer{ID: m.ID, Detail: "no service beside this agent"})
+		a.sendAnswer(l, &wire.Answer{ID: m.ID, Detail: "no service beside this agent"})
 		return
 	case a.leaving():
-		a.answer(l, &wire.Answer{ID: m.ID, Detail: "leaving"})
+		a.sendAnswer(l, &wire.Answer{ID: m.ID, Detail: "leaving"})
 		return
 	case !a.calls[m.ID].IsZero():
 		return
 	}
-	a.forgetCalls(now)
+	a.evictCalls(now)
 	a.calls[m.ID] = now
 	a.jobs[m.ID] = &job{owner: ownerOf(l.Peer)}
-	a.note(m.ID, decision.Called, m.Method+" "+m.Path)
+	a.addStep(m.ID, decision.Called, m.Method+" "+m.Path)
 	a.wg.Go(func() { a.runCall(l, m) })
 }
 
-func (a *Agent) answer(l *wire.Link, m *wire.Answer) { _ = l.Send(&wire.Message{Answer: m}) }
+func (a *Agent) sendAnswer(l *wire.Link, m *wire.Answer) { _ = l.Send(&wire.Message{Answer: m}) }
 
 func (a *Agent) runCall(l *wire.Link, m *wire.Call) {
 	ctx, cancel := context.WithTimeout(a.ctx, m.Limit)
@@ -49,17 +49,17 @@
 	a.mu.Lock()
 	delete(a.jobs, m.ID)
 	a.mu.Unlock()
-	a.answer(l, out)
+	a.sendAnswer(l, out)
 }
 
 // forgetCalls drops old calls when there are many.
-func (a *Agent) forgetCalls(now time.Time) {
-	const many = 4096
-	if len(a.calls) < many {
+func (a *Agent) evictCalls(now time.Time) {
+	const maxCalls = 4096
+	if len(a.calls) < maxCalls {
 		return
 	}
 	for id, at := range a.calls {
-		if now.Sub(at) > callMemory {
+		if now.Sub(at) > callTTL {
 			delete(a.calls, id)
 		}
 	}
@@ -67,21 +67,21 @@
 
 // order passes an order of control to the engine if its fence allows. Callers
 // hold the lock.
-func (a *Agent) order(l *wire.Link, m *order.Order) {
+func (a *Agent) handleOrder(l *wire.Link, m *order.Order) {
 	if m.Floor {
 		a.gate.SetFloor(m.Fence)
 		return
 	}
 	if a.engine == nil || !a.gate.Allow(m.Fence) {
 		event.OrderStale.Log(a.log, "order", m.ID, "term", m.Fence.Term, "seq", m.Fence.Seq)
-		high, _ := a.gate.Highest()
-		_ = l.Send(&wire.Message{Ordered: &order.Result{ID: m.ID, Detail: fault.StaleFence.ID, Fence: high}})
+		highest, _ := a.gate.Highest()
+		_ = l.Send(&wire.Message{Ordered: &order.Result{ID: m.ID, Detail: fault.StaleFence.ID, Fence: highest}})
 		return
 	}
-	a.wg.Go(func() { a.carryOut(l, m) })
+	a.wg.Go(func() { a.executeOrder(l, m) })
 }
 
-func (a *Agent) carryOut(l *wire.Link, m *order.Order) {
+func (a *Agent) executeOrder(l *wire.Link, m *order.Order) {
 	err := a.engine.Order(a.ctx, m.Do)
 	res := &order.Result{ID: m.ID, OK: err == nil, Fence: m.Fence}
 	if err != nil {
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -14,20 +14,20 @@
 )
 
 // groupKey names a claim group: a service at a site.
-type groupKey struct{ service, site string }
+type claimGroupKey struct{ service, site string }
 
 // joinGroup makes the agent a claim voter if the settings list it. A voter that
 // was running before its group came into being knows that the group has no
 // past, and votes at once; any other one has to copy first. Callers hold the
 // lock.
-func (a *Agent) joinGroup(now time.Time, before *settings.Tree) {
+func (a *Agent) joinClaimGroup(now time.Time, before *settings.Tree) {
 	tree := a.store.Tree()
-	key, members, life := findGroup(tree, a.cfg.Name)
-	if len(members) == 0 || a.voter != nil && a.group == key {
+	key, members, lifetime := findClaimGroup(tree, a.cfg.Name)
+	if len(members) == 0 || a.voter != nil && a.claimGroup == key {
 		return
 	}
-	a.group = key
-	a.voter = claim.NewVoter(now, a.cfg.Name, uint64(a.epoch), members, life)
+	a.claimGroup = key
+	a.voter = claim.NewVoter(now, a.cfg.Name, uint64(a.epoch), members, lifetime)
 	if a.cfg.AssumeNewClaimGroup || before != nil && len(before.Fleet.Services[key.service].ClaimGroup[key.site]) == 0 {
 		a.voter.Bootstrap()
 		return
@@ -39,28 +39,28 @@
 			peers = append(peers, p)
 		}
 	}
-	a.wg.Go(func() { a.warmUp(a.voter, peers) })
+	a.wg.Go(func() { a.copyGrants(a.voter, peers) })
 }
 
-func findGroup(tree *settings.Tree, server string) (groupKey, []string, time.Duration) {
+func findClaimGroup(tree *settings.Tree, server string) (claimGroupKey, []string, time.Duration) {
 	for name, svc := range tree.Fleet.Services {
 		for site, members := range svc.ClaimGroup {
 			if slices.Contains(members, server) {
-				return groupKey{name, site}, members, svc.ClaimLifetimeOrDefault()
+				return claimGroupKey{name, site}, members, svc.ClaimLifetimeOrDefault()
 			}
 		}
 	}
-	return groupKey{}, nil, 0
+	return claimGroupKey{}, nil, 0
 }
 
 // copyTimeout bounds the copying of one member's grants.
 const copyTimeout = 30 * time.Second
 
 // copyEvery is the time between two tries to copy grants.
-const copyEvery = 300 * time.Millisecond
+const copyInterval = 300 * time.Millisecond
 
 // warmUp copies the grants of the other members until the voter votes.
-func (a *Agent) warmUp(v *claim.Voter, peers []settings.PlacedServer) {
+func (a *Agent) copyGrants(v *claim.Voter, peers []settings.PlacedServer) {
 	for a.ctx.Err() == nil {
 		for _, p := range peers {
 			a.copyFrom(v, p)
@@ -72,7 +72,7 @@
 			event.VoterWarm.Log(a.log)
 			return
 		}
-		wait.For(a.ctx, copyEvery)
+		wait.For(a.ctx, copyInterval)
 	}
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		return
 	}
-	a.askCopy(v, p.Name, l)
+	a.requestCopy(v, p.Name, l)
 	_ = l.Run(ctx, func(m *wire.Message) {
 		if m.Copied == nil {
 			return
@@ -96,12 +96,12 @@
 			l.Close()
 			return
 		}
-		a.askCopy(v, p.Name, l)
+		a.requestCopy(v, p.Name, l)
 	})
 }
 
 // askCopy asks a member for its next part; it closes the link if there is none.
-func (a *Agent) askCopy(v *claim.Voter, name string, l *wire.Link) {
+func (a *Agent) requestCopy(v *claim.Voter, name string, l *wire.Link) {
 	a.mu.Lock()
 	ask := v.NextCopyRequest(name)
 	a.mu.Unlock()
@@ -113,7 +113,7 @@
 }
 
 // grant votes on a claim. Callers hold the lock.
-func (a *Agent) grant(now time.Time, l *wire.Link, m *claim.VoteRequest) {
+func (a *Agent) handleClaim(now time.Time, l *wire.Link, m *claim.VoteRequest) {
 	vote := claim.Vote{Key: m.Key, Attempt: m.Attempt, Voter: a.cfg.Name, Cold: true}
 	if a.voter != nil {
 		vote = a.voter.Vote(now, *m)
@@ -121,13 +121,13 @@
 	_ = l.Send(&wire.Message{Granted: &vote})
 }
 
-func (a *Agent) record(now time.Time, m *claim.Record) {
+func (a *Agent) handleRecord(now time.Time, m *claim.Record) {
 	if a.voter != nil {
 		a.voter.Record(now, *m)
 	}
 }
 
-func (a *Agent) copyFor(now time.Time, l *wire.Link, m *claim.CopyRequest) {
+func (a *Agent) handleCopy(now time.Time, l *wire.Link, m *claim.CopyRequest) {
 	if a.voter != nil {
 		c := a.voter.AnswerCopy(now, *m)
 		_ = l.Send(&wire.Message{Copied: &c})
--- a/agent/recover.go
+++ b/agent/recover.go
@@ -21,17 +21,17 @@
 	for a.ctx.Err() == nil {
 		ids, err := a.engine.Running(a.ctx)
 		if err == nil {
-			a.recovered(ids)
+			a.addOrphans(ids)
 			return
 		}
-		wait.For(a.ctx, cancelEvery)
+		wait.For(a.ctx, cancelInterval)
 	}
 }
 
-func (a *Agent) recovered(ids []string) {
+func (a *Agent) addOrphans(ids []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	until := clock.VM.Now().Add(orphanGrace)
+	until := clock.VM.Now().Add(orphanTimeout)
 	for _, s := range ids {
 		if id, ok := parseID(s); ok {
 			a.orphans[id] = until
@@ -42,13 +42,13 @@
 
 // resume tells an entry on a new link what became of an attempt. Callers hold
 // the lock.
-func (a *Agent) resume(now time.Time, owner string, l *wire.Link, m *wire.Resume) {
+func (a *Agent) handleResume(now time.Time, owner string, l *wire.Link, m *wire.Resume) {
 	if _, ok := a.orphans[m.ID]; ok && m.Decode {
 		delete(a.orphans, m.ID)
 		a.work.Restore(now, m.ID, owner, m.Keep)
 		a.jobs[m.ID] = &job{owner: owner}
-		a.note(m.ID, decision.Retried, fmt.Sprintf("claimed by %s after a restart of the agent", l.Peer.Name))
-		a.reopen(owner, m)
+		a.addStep(m.ID, decision.Retried, fmt.Sprintf("claimed by %s after a restart of the agent", l.Peer.Name))
+		a.resumeDecode(owner, m)
 		return
 	}
 	j := a.jobs[m.ID]
@@ -60,14 +60,14 @@
 		}
 		a.sendFailed(l, m.ID, step, "the agent does not know the attempt", false)
 	case m.Decode:
-		a.reopen(owner, m)
-	case j.done != nil:
-		_ = l.Send(&wire.Message{Prefilled: j.done})
+		a.resumeDecode(owner, m)
+	case j.result != nil:
+		_ = l.Send(&wire.Message{Prefilled: j.result})
 	}
 }
 
 // reopen reads the stream of a running decode again from an index on.
-func (a *Agent) reopen(owner string, m *wire.Resume) {
+func (a *Agent) resumeDecode(owner string, m *wire.Resume) {
 	j := a.jobs[m.ID]
 	if j.cancel != nil {
 		j.cancel()
@@ -78,30 +78,30 @@
 	a.wg.Go(func() {
 		s, err := a.engine.Resume(ctx, engineID(m.ID), m.From)
 		if err != nil {
-			a.lost(owner, m.ID, fault.StepDecode, err)
+			a.failJob(owner, m.ID, fault.StepDecode, err)
 			return
 		}
-		a.pump(ctx, owner, m.ID, next, s)
+		a.forwardStream(ctx, owner, m.ID, next, s)
 	})
 }
 
 // Times of the engine's reports.
 const (
-	engineEvery   = 250 * time.Millisecond
-	engineTimeout = time.Second
+	engineInterval = 250 * time.Millisecond
+	engineTimeout  = time.Second
 	// missesToLose is the number of reports that may fail in a row.
-	missesToLose = 2
+	maxFailedReports = 2
 	// maxHashes bounds the cache hints in one heartbeat, for the budget of
 	// control traffic.
-	maxHashes = 16
+	maxCacheHints = 16
 )
 
 // engineLoop reads the engine's load and cache events.
 func (a *Agent) engineLoop() {
-	t := time.NewTicker(engineEvery)
+	t := time.NewTicker(engineInterval)
 	defer t.Stop()
 	for {
-		a.readEngine()
+		a.pollEngine()
 		select {
 		case <-a.ctx.Done():
 			return
@@ -110,49 +110,49 @@
 	}
 }
 
-func (a *Agent) readEngine() {
+func (a *Agent) pollEngine() {
 	ctx, cancel := context.WithTimeout(a.ctx, engineTimeout)
 	defer cancel()
 	load, err := a.engine.Load(ctx)
 	if err != nil {
-		a.engineMissed(err)
+		a.engineReportFailed(err)
 		return
 	}
 	events, _ := a.engine.CacheEvents(ctx, a.cacheSeq)
-	a.engineSeen(load, events)
+	a.engineReported(load, events)
 }
 
-func (a *Agent) engineMissed(err error) {
+func (a *Agent) engineReportFailed(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.misses++
-	if a.misses != missesToLose || a.ctx.Err() != nil {
+	a.failedReports++
+	if a.failedReports != maxFailedReports || a.ctx.Err() != nil {
 		return
 	}
 	event.EngineLost.Log(a.log, "error", fault.From(err))
 	a.engineOK, a.models = false, nil
-	a.beatLocked()
+	a.sendHeartbeatsLocked()
 }
 
-func (a *Agent) engineSeen(load engine.Load, events []engine.CacheEvent) {
+func (a *Agent) engineReported(load engine.Load, events []engine.CacheEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	changed := !a.engineOK || !slices.Equal(load.Assets, a.assets) || load.Role != a.role
 	if !a.engineOK {
 		event.EngineBack.Log(a.log)
 	}
-	a.engineOK, a.misses = true, 0
+	a.engineOK, a.failedReports = true, 0
 	a.models, a.assets, a.role = load.Models, load.Assets, load.Role
 	for _, e := range events {
 		a.cacheSeq = max(a.cacheSeq, e.Seq)
-		if !e.Removed && len(a.hashes) < maxHashes {
-			a.hashes = append(a.hashes, e.Prefix)
+		if !e.Removed && len(a.cacheHints) < maxCacheHints {
+			a.cacheHints = append(a.cacheHints, e.Prefix)
 		}
 	}
 	if changed {
-		a.beatLocked()
+		a.sendHeartbeatsLocked()
 		for _, l := range a.links {
-			a.tellAssets(l)
+			a.sendAssets(l)
 		}
 	}
 }
--- a/agent/work.go
+++ b/agent/work.go
@@ -40,7 +40,7 @@
 }
 
 // reserve answers at once. Callers hold the lock.
-func (a *Agent) reserve(now time.Time, owner string, l *wire.Link, m *wire.Reserve) {
+func (a *Agent) handleReserve(now time.Time, owner string, l *wire.Link, m *wire.Reserve) {
 	reason := lease.NoModel
 	if slices.Contains(a.models, m.Model) {
 		reason = a.work.Reserve(now, lease.Request{
@@ -50,16 +50,16 @@
 	}
 	if reason == lease.None {
 		a.jobs[m.ID] = &job{owner: owner, priority: m.Priority, tokens: m.Tokens}
-		a.note(m.ID, decision.Reserved, fmt.Sprintf("for %s, %d of %d slots in use", l.Peer.Name, a.work.Used(), a.work.Slots()))
+		a.addStep(m.ID, decision.Reserved, fmt.Sprintf("for %s, %d of %d slots in use", l.Peer.Name, a.work.Used(), a.work.Slots()))
 	} else {
-		a.note(m.ID, decision.ReservationRefused, string(reason))
+		a.addStep(m.ID, decision.ReservationRefused, string(reason))
 	}
-	answer := &wire.Reserved{ID: m.ID, OK: reason == lease.None, Reason: string(reason), Load: a.load(owner)}
+	answer := &wire.Reserved{ID: m.ID, OK: reason == lease.None, Reason: string(reason), Load: a.loadFor(owner)}
 	_ = l.Send(&wire.Message{Reserved: answer})
 }
 
 // begin moves a reservation to work; nil if there is none.
-func (a *Agent) begin(l *wire.Link, id lease.ID, step fault.Step) (*job, context.Context) {
+func (a *Agent) startJob(l *wire.Link, id lease.ID, step fault.Step) (*job, context.Context) {
 	j := a.jobs[id]
 	if j == nil || !a.work.Start(id) {
 		a.sendFailed(l, id, step, "no reservation", false)
@@ -70,12 +70,12 @@
 	return j, ctx
 }
 
-func (a *Agent) sendFailed(l *wire.Link, id lease.ID, step fault.Step, detail string, blame bool) {
-	_ = l.Send(&wire.Message{Failed: &wire.Failed{ID: id, Step: string(step), Detail: detail, Server: blame}})
+func (a *Agent) sendFailed(l *wire.Link, id lease.ID, step fault.Step, detail string, serverFault bool) {
+	_ = l.Send(&wire.Message{Failed: &wire.Failed{ID: id, Step: string(step), Detail: detail, Server: serverFault}})
 }
 
 // send gives a message to the present link of an owner, if there is one.
-func (a *Agent) send(owner string, m *wire.Message) {
+func (a *Agent) sendTo(owner string, m *wire.Message) {
 	a.mu.Lock()
 	l := a.links[owner]
 	a.mu.Unlock()
@@ -85,11 +85,11 @@
 }
 
 func (a *Agent) startPrefill(owner string, l *wire.Link, m *wire.Prefill) {
-	j, ctx := a.begin(l, m.ID, fault.StepPrefill)
+	j, ctx := a.startJob(l, m.ID, fault.StepPrefill)
 	if j == nil {
 		return
 	}
-	a.note(m.ID, decision.Prefilling, "")
+	a.addStep(m.ID, decision.Prefilling, "")
 	r := m.Request
 	r.ID = engineID(m.ID)
 	a.wg.Go(func() { a.prefill(ctx, owner, m.ID, j, r) })
@@ -99,15 +99,15 @@
 	start := clock.VM.Now()
 	res, err := a.engine.Prefill(ctx, r)
 	if err != nil {
-		a.lost(owner, id, fault.StepPrefill, err)
+		a.failJob(owner, id, fault.StepPrefill, err)
 		return
 	}
-	a.prefilled(owner, id, j, res, start)
+	a.finishPrefill(owner, id, j, res, start)
 }
 
 // prefilled frees the slot of the work and keeps the result under a lease of
 // its own until the decode engine has it.
-func (a *Agent) prefilled(owner string, id lease.ID, j *job, res engine.Prefilled, start time.Time) {
+func (a *Agent) finishPrefill(owner string, id lease.ID, j *job, res engine.Prefilled, start time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.VM.Now()
@@ -117,25 +117,25 @@
 	a.work.Finish(id)
 	a.kv.Restore(now, id, owner, false)
 	a.kv.SetDeadline(id, now.Add(res.KV.TTL))
-	if a.lastEnd.After(start) {
-		start = a.lastEnd // it waited for the one before
+	if a.lastPrefillEnd.After(start) {
+		start = a.lastPrefillEnd // it waited for the one before
 	}
-	a.lastEnd = now
+	a.lastPrefillEnd = now
 	j.tokens = 0
-	j.done = &wire.Prefilled{ID: id, KV: res.KV, Cached: res.Cached, Took: now.Sub(start), Load: a.load(owner)}
-	a.note(id, decision.Prefilled, fmt.Sprintf("%d tokens, %d cached", res.KV.Tokens, res.Cached))
+	j.result = &wire.Prefilled{ID: id, KV: res.KV, Cached: res.Cached, Took: now.Sub(start), Load: a.loadFor(owner)}
+	a.addStep(id, decision.Prefilled, fmt.Sprintf("%d tokens, %d cached", res.KV.Tokens, res.Cached))
 	if l := a.links[owner]; l != nil {
-		_ = l.Send(&wire.Message{Prefilled: j.done})
+		_ = l.Send(&wire.Message{Prefilled: j.result})
 	}
 }
 
 func (a *Agent) startDecode(owner string, l *wire.Link, m *wire.Decode) {
-	j, ctx := a.begin(l, m.ID, fault.StepTransfer)
+	j, ctx := a.startJob(l, m.ID, fault.StepTransfer)
 	if j == nil {
 		return
 	}
-	a.note(m.ID, decision.Transfer, fmt.Sprintf("%d bytes from %s", m.KV.Bytes, m.KV.Source))
-	j.next, j.moving = m.From, true
+	a.addStep(m.ID, decision.Transfer, fmt.Sprintf("%d bytes from %s", m.KV.Bytes, m.KV.Source))
+	j.next, j.importing = m.From, true
 	r := m.Request
 	r.ID = engineID(m.ID)
 	a.wg.Go(func() { a.decode(ctx, owner, m, j, r) })
@@ -145,38 +145,38 @@
 	start := clock.VM.Now()
 	s, err := a.engine.Decode(ctx, r, m.KV, m.From)
 	if err != nil {
-		a.lost(owner, m.ID, fault.StepTransfer, err)
+		a.failJob(owner, m.ID, fault.StepTransfer, err)
 		return
 	}
 	a.mu.Lock()
-	j.moving = false
-	a.note(m.ID, decision.Imported, "")
+	j.importing = false
+	a.addStep(m.ID, decision.Imported, "")
 	a.mu.Unlock()
-	a.send(owner, &wire.Message{Imported: &wire.Imported{ID: m.ID, Took: clock.VM.Since(start)}})
-	a.pump(ctx, owner, m.ID, j, s)
+	a.sendTo(owner, &wire.Message{Imported: &wire.Imported{ID: m.ID, Took: clock.VM.Since(start)}})
+	a.forwardStream(ctx, owner, m.ID, j, s)
 }
 
 // resumes bounds how often a broken stream is opened again at the engine.
-const resumes = 2
+const maxStreamResumes = 2
 
 // pump passes the chunks of a stream on, and opens the stream again if it
 // breaks while the engine still has the request.
-func (a *Agent) pump(ctx context.Context, owner string, id lease.ID, j *job, s engine.Stream) {
+func (a *Agent) forwardStream(ctx context.Context, owner string, id lease.ID, j *job, s engine.Stream) {
 	for try := 0; ; try++ {
 		err := a.copyStream(owner, id, j, s)
 		_ = s.Close()
 		if errors.Is(err, io.EOF) {
-			a.decoded(id)
+			a.finishDecode(id)
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if try < resumes {
+		if try < maxStreamResumes {
 			s, err = a.engine.Resume(ctx, engineID(id), j.next)
 		}
 		if err != nil {
-			a.lost(owner, id, fault.StepDecode, err)
+			a.failJob(owner, id, fault.StepDecode, err)
 			return
 		}
 	}
@@ -188,16 +188,16 @@
 		if err != nil {
 			return err
 		}
-		a.send(owner, &wire.Message{Chunk: &wire.Chunk{ID: id, Chunk: c}})
+		a.sendTo(owner, &wire.Message{Chunk: &wire.Chunk{ID: id, Chunk: c}})
 		j.next = c.Index + 1
 	}
 }
 
-func (a *Agent) decoded(id lease.ID) {
+func (a *Agent) finishDecode(id lease.ID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.work.Finish(id)
-	a.note(id, decision.Done, "")
+	a.addStep(id, decision.Done, "")
 	a.endJob(id)
 }
 
@@ -213,17 +213,17 @@
 
 // lost ends work that the engine failed. The slot stays in use until the
 // engine has confirmed that nothing is left.
-func (a *Agent) lost(owner string, id lease.ID, step fault.Step, err error) {
+func (a *Agent) failJob(owner string, id lease.ID, step fault.Step, err error) {
 	a.mu.Lock()
 	state, ok := a.work.State(id)
 	cancelled := !ok || state == lease.Cancelling
 	if !cancelled {
-		a.note(id, decision.Failure, fault.From(err).Error())
+		a.addStep(id, decision.Failure, fault.From(err).Error())
 	}
 	a.cancelWork(clock.VM.Now(), id)
 	a.mu.Unlock()
 	if !cancelled && a.ctx.Err() == nil {
-		a.send(owner, &wire.Message{Failed: &wire.Failed{
+		a.sendTo(owner, &wire.Message{Failed: &wire.Failed{
 			ID: id, Step: string(step), Code: fault.From(err).Code.ID, Detail: fault.From(err).Detail, Server: true,
 		}})
 	}
@@ -231,8 +231,8 @@
 
 // cancelWork gives up all that an attempt holds here. Callers hold the lock.
 func (a *Agent) cancelWork(now time.Time, id lease.ID) {
-	a.effects(a.work, a.work.Cancel(now, id))
-	a.effects(a.kv, a.kv.Cancel(now, id))
+	a.perform(a.work, a.work.Cancel(now, id))
+	a.perform(a.kv, a.kv.Cancel(now, id))
 	if _, ok := a.work.State(id); !ok {
 		if _, ok := a.kv.State(id); !ok {
 			a.endJob(id)
@@ -241,15 +241,15 @@
 }
 
 // effects carries out the cancels that a table asks for. Callers hold the lock.
-func (a *Agent) effects(t *lease.Table, list []lease.EngineCancel) {
+func (a *Agent) perform(t *lease.Table, list []lease.EngineCancel) {
 	for _, e := range list {
 		metric.Cancels.WithLabelValues(a.cfg.Name, "sent").Inc()
 		switch {
 		case e.Expired:
 			event.LeaseExpired.Log(a.log, "request", e.ID.Req)
-			a.note(e.ID, decision.Expired, "")
+			a.addStep(e.ID, decision.Expired, "")
 		case e.Try == 1:
-			a.note(e.ID, decision.Cancelled, "")
+			a.addStep(e.ID, decision.Cancelled, "")
 		default:
 			event.CancelRepeated.Log(a.log, "request", e.ID.Req, "try", e.Try)
 		}
@@ -272,6 +272,6 @@
 	defer a.mu.Unlock()
 	t.Finish(id)
 	metric.Cancels.WithLabelValues(a.cfg.Name, "confirmed").Inc()
-	a.note(id, decision.Confirmed, "")
+	a.addStep(id, decision.Confirmed, "")
 	a.endJob(id)
 }
