--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -24,14 +24,14 @@
 	return in, readVersion(in.Version)
 }
 
-// Readable tells whether this build reads a command, so that one that it doesn't is refused
-// before it is kept.
+// CheckCommand returns an error if this build can't decode a command, so that the command is
+// refused before it is stored.
 func CheckCommand(data []byte) error {
 	var c Change
 	return decode(data, &c)
 }
 
-// ReadableSnapshot tells whether this build reads a snapshot.
+// CheckSnapshot returns an error if this build can't decode a snapshot.
 func CheckSnapshot(data []byte) error {
 	_, err := decodeSnapshot(data)
 	return err
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,5 +1,6 @@
-// Package fleet is the state that control replicates: the settings tree with
-// its revision, the answers to the changes that were made, and their history.
+// Package fleet implements the state that the control replicas share: the
+// settings tree with its revision, the routing table, the version of the fleet,
+// the evacuated availability zones, and the results and history of changes.
 //
 // It is a deterministic state machine over the committed log, so that each
 // replica has the same state, also after a restart from a snapshot.
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Evacuation is an operator's order about an availability zone: that its servers get no new
-// work, or that they may get it again.
+// Evacuation is an operator's order to begin or to finish the evacuation of an availability
+// zone. The servers of an evacuated zone get no new work.
 type Evacuation struct {
 	Zone string `cbor:"1,keyasint,omitempty"`
-	// Finished tells that the zone may get work again.
+	// Finished is set if the zone may get work again.
 	Finished bool `cbor:"2,keyasint,omitempty"`
 }
 
 // EvacuatedZone is an availability zone whose servers get no new work.
 type EvacuatedZone struct {
 	Zone string `cbor:"1,keyasint,omitempty" json:"zone"`
-	// Since is when the order was taken, in Unix seconds by the clock of the replica that
-	// took it.
+	// Since is when the order was accepted, in Unix seconds by the clock of the replica that
+	// accepted it.
 	Since int64 `cbor:"2,keyasint,omitempty" json:"since"`
 }
 
-// Evacuated returns the zones that are being evacuated, by name.
+// EvacuatedZones returns the evacuated zones, sorted by name.
 func (s *State) EvacuatedZones() []EvacuatedZone {
 	var out []EvacuatedZone
 	for zone, since := range s.evacuated {
@@ -32,12 +32,12 @@
 	return out
 }
 
-// Evacuations counts the changes of what is evacuated, so that whoever was told of a later one
-// knows an earlier one.
+// EvacuationRevision returns the number of changes of the set of evacuated zones, by which a
+// receiver recognises a set that is older than the one it has.
 func (s *State) EvacuationRevision() uint64 { return s.evacuations }
 
-// applyEvacuation takes an order. One that changes nothing counts as taken: operators send an
-// order again when they get no answer.
+// applyEvacuation applies an order. One without effect succeeds: operators send an order again
+// when they get no answer.
 func (s *State) applyEvacuation(c Change) Result {
 	zone := c.Evacuation.Zone
 	if _, evacuated := s.evacuated[zone]; evacuated == c.Evacuation.Finished {
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -18,8 +18,9 @@
 	return data
 }
 
-// TestEvacuations gives orders in any order, twice and for several zones: the newest order about
-// a zone holds, one that changes nothing is taken without effect, and a snapshot has it all.
+// TestLastEvacuationOrderApplies applies random orders, with repetitions, for several zones. It
+// guards against a repeated order that fails or changes the revision or the start of an
+// evacuation, and against a snapshot that loses either of these.
 func TestLastEvacuationOrderApplies(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := fleet.New()
--- a/fleet/fields_test.go
+++ b/fleet/fields_test.go
@@ -11,9 +11,10 @@
 	"github.com/ledgepin/ledgepin/internal/fieldlist"
 )
 
-// TestFields holds the fields of what replicas keep and send against those of the builds in
-// use: none of them changes or goes, and a new one is optional and stands in the list, which
-// is changed by hand (CONTRIBUTING, "Changing a message or a record").
+// TestEncodedFieldsStayCompatible compares the fields of commands and snapshots with those of
+// released builds, which read them during an upgrade: no field may be changed or removed, and
+// a new one must be optional and in testdata/fields.txt, which is edited by hand (CONTRIBUTING,
+// "Changing a message or a record").
 func TestEncodedFieldsStayCompatible(t *testing.T) {
 	var current []string
 	for _, typ := range []reflect.Type{
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -11,42 +11,43 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// Change is an operator's change of the settings tree.
+// Change is a command of the replicated log. It changes the settings tree, unless one of Table,
+// Version and Evacuation is set.
 type Change struct {
-	// ID is the operator's name for the change; a resent one gets the first
-	// answer again.
+	// ID identifies the change, so that one that is sent again gets the result of the first.
 	ID string `cbor:"1,keyasint"`
-	// Base is the revision that the change is based on.
+	// Base is the revision of the settings that the change is based on.
 	Base uint64 `cbor:"2,keyasint"`
-	// Delta leads from the text of Base to the new text, whose hash is Sum.
+	// Delta transforms the text of Base into the new text, whose SHA-256 hash is Sum.
 	Delta settings.Delta `cbor:"3,keyasint"`
 	Sum   settings.Sum   `cbor:"4,keyasint"`
 	Who   string         `cbor:"5,keyasint"`
-	// When is the clock of the replica that took the change, in nanoseconds.
+	// When is the time in Unix nanoseconds by the clock of the replica that accepted the change.
 	When int64  `cbor:"6,keyasint"`
 	Note string `cbor:"7,keyasint,omitempty"`
-	// Edits are the first values that differ, for the history.
+	// Edits are the first MaxEdits values that differ, for the history.
 	Edits []string `cbor:"8,keyasint,omitempty"`
-	// Table is a whole routing table; the other fields but ID are empty then.
+	// Table is a new routing table; the other fields but ID are empty then.
 	Table *route.Table `cbor:"9,keyasint,omitempty"`
-	// Version raises the fleet's version; the other fields but ID are empty then.
+	// Version is a new version of the fleet; the other fields but ID are empty then.
 	Version int `cbor:"10,keyasint,omitempty"`
-	// Evacuation begins or ends that of an availability zone; the other fields but ID and
-	// When are empty then.
+	// Evacuation is an order about an availability zone; the other fields but ID and When are
+	// empty then.
 	Evacuation *Evacuation `cbor:"11,keyasint,omitempty"`
 }
 
-// Result is the answer to a change.
+// Result is the outcome of a change. Replicas store it, so the same change must have the same
+// result at all of them.
 type Result struct {
 	ID string `cbor:"1,keyasint" json:"id"`
-	// Revision is the new revision, or the newest one if OK is not set.
+	// Revision is the new revision, or the current one if OK is not set.
 	Revision uint64 `cbor:"2,keyasint" json:"revision"`
 	OK       bool   `cbor:"3,keyasint" json:"ok"`
-	// Detail tells why the change was not made.
+	// Detail is why the change was not made.
 	Detail string `cbor:"4,keyasint,omitempty" json:"detail,omitempty"`
 }
 
-// Past is one change that was made.
+// Past is a change of the settings in the history.
 type Past struct {
 	Revision uint64    `json:"revision"`
 	ID       string    `json:"id"`
@@ -56,13 +57,13 @@
 	Edits    []string  `json:"edits,omitempty"`
 }
 
-// Bounds of what is kept.
+// Bounds of the stored state.
 const (
-	// MaxResults bounds the change IDs that are remembered: ten days at the
-	// size that the design is for.
+	// MaxResults is the maximum number of results that are stored, to recognise changes that
+	// are sent again: those of ten days in the largest supported fleet.
 	MaxResults = 20000
 	maxHistory = 2000
-	// MaxEdits bounds the edits that the history shows of one change.
+	// MaxEdits is the maximum number of edits of one change in the history.
 	MaxEdits = 20
 )
 
@@ -71,36 +72,36 @@
 	revision  uint64
 	text      []byte
 	results   map[string]Result
-	resultIDs []string // change IDs, the oldest first
+	resultIDs []string // IDs of results, the oldest first
 	history   []Past
-	table     *route.Table // nil before the first
+	table     *route.Table // nil before the first one
 	version   int          // zero while it is the base version
-	// evacuated are the zones that are being evacuated, and evacuations counts the changes
-	// of that.
+	// evacuated holds the start of the evacuation of each evacuated zone, and evacuations
+	// counts its changes.
 	evacuated   map[string]time.Time
 	evacuations uint64
 }
 
-// New returns the state before any change: revision zero, no settings.
+// New returns the state before any change, with revision zero and no settings.
 func New() *State { return &State{results: map[string]Result{}, evacuated: map[string]time.Time{}} }
 
-// Revision returns the newest revision.
+// Revision returns the current revision of the settings.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Text returns the settings of the newest revision; callers must not change it.
+// Text returns the settings of the current revision. Callers must not modify it.
 func (s *State) Text() []byte { return s.text }
 
-// Table returns the routing table with the highest version, or nil; callers
-// must not change it.
+// Table returns the routing table with the highest version, or nil. Callers
+// must not modify it.
 func (s *State) Table() *route.Table { return s.table }
 
-// Result returns the answer to an earlier change.
+// Result returns the result of an earlier change, if it is still stored.
 func (s *State) Result(id string) (Result, bool) {
 	r, ok := s.results[id]
 	return r, ok
 }
 
-// History returns the changes after a revision, the oldest first.
+// History returns the stored changes after a revision, the oldest first.
 func (s *State) History(after uint64) []Past {
 	for i, p := range s.history {
 		if p.Revision > after {
@@ -110,9 +111,9 @@
 	return nil
 }
 
-// Apply takes one committed command. The same commands in the same order give
-// the same state everywhere. A command that can't be read whole is an error and changes
-// nothing: whoever went on without it would differ from the others.
+// Apply applies a committed command. The same commands in the same order produce
+// the same state at every replica. A command that can't be decoded completely is an
+// error and changes nothing: a replica that skipped it would diverge from the others.
 func (s *State) Apply(data []byte) (Result, error) {
 	var c Change
 	if err := decode(data, &c); err != nil {
@@ -155,8 +156,8 @@
 	return Result{ID: c.ID, Revision: s.revision, OK: true}
 }
 
-// applyTable takes a routing table if its version is above the one that is
-// held. One that is not changes nothing and counts as taken: it was overtaken.
+// applyTable replaces the routing table if the new one has a higher version. Otherwise a newer
+// table was committed before: the change has no effect and succeeds.
 func (s *State) applyTable(c Change) Result {
 	if s.table == nil || c.Table.Version > s.table.Version {
 		s.table = c.Table
@@ -173,27 +174,27 @@
 	}
 }
 
-// Encode returns the command of a change.
+// Encode returns the encoded command for a change.
 func Encode(c Change) ([]byte, error) { return cbor.Marshal(c) }
 
-// snapshot is the state as it is kept.
+// snapshot is the encoded form of the state.
 type snapshot struct {
 	Revision uint64   `cbor:"1,keyasint"`
 	Text     []byte   `cbor:"2,keyasint"`
 	Results  []Result `cbor:"3,keyasint"`
 	History  []Past   `cbor:"4,keyasint"`
-	// Table is the routing table; nil before the first.
+	// Table is the routing table; nil before the first one.
 	Table *route.Table `cbor:"5,keyasint,omitempty"`
-	// Version is the fleet's version; missing while it is the base version, so that builds
-	// of that version read the snapshot.
+	// Version is the version of the fleet. It is absent while it is the base version, so that
+	// builds of that version can read the snapshot.
 	Version int `cbor:"6,keyasint,omitempty"`
-	// Evacuated are the zones that are being evacuated, by name, and Evacuations counts the
-	// changes of that.
+	// Evacuated lists the evacuated zones, sorted by name, and Evacuations counts the
+	// changes of the set.
 	Evacuated   []EvacuatedZone `cbor:"7,keyasint,omitempty"`
 	Evacuations uint64          `cbor:"8,keyasint,omitempty"`
 }
 
-// Snapshot returns the whole state as bytes.
+// Snapshot returns the whole state in encoded form.
 func (s *State) Snapshot() ([]byte, error) {
 	out := snapshot{Revision: s.revision, Text: s.text, History: s.history, Table: s.table, Version: s.version, Evacuated: s.EvacuatedZones(), Evacuations: s.evacuations, Results: make([]Result, 0, len(s.resultIDs))}
 	for _, id := range s.resultIDs {
@@ -202,7 +203,7 @@
 	return cbor.Marshal(out)
 }
 
-// Restore returns the state of a snapshot; empty bytes give a new state.
+// Restore returns the state of a snapshot, or a new state if data is empty.
 func Restore(data []byte) (*State, error) {
 	s := New()
 	if len(data) == 0 {
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// FuzzState feeds the readers of the state that is kept, and of commands, any bytes. What is
-// taken can be kept again, and a command that can't be read changes nothing.
+// FuzzState restores arbitrary bytes and applies arbitrary commands. A state that was restored
+// must encode again, and a command that can't be decoded must change nothing.
 func FuzzState(f *testing.F) {
 	s := fleet.New()
 	command, err := fleet.Encode(fleet.Change{ID: "t", Table: &route.Table{Version: 3}})
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/ledgepin/ledgepin/wal"
 )
 
-// known is the state that build 55b4ff8 had after all entries.
+// goldenState is the state of build 55b4ff8 after all entries of its log.
 type goldenState struct {
 	Revision uint64         `json:"revision"`
 	Text     string         `json:"text"`
@@ -44,8 +44,9 @@
 	assert.Equal(t, marshal(got), marshal(want))
 }
 
-// TestGoldenSnapshot wants the state of a snapshot of build 55b4ff8, and the same bytes again:
-// that build reads what this one writes while nothing that it does not know is in force.
+// TestGoldenSnapshot restores a snapshot of build 55b4ff8 and encodes it to the same bytes
+// again: while no newer version is in force, that build must be able to read the snapshots of
+// this one.
 func TestGoldenSnapshot(t *testing.T) {
 	data, err := os.ReadFile("testdata/55b4ff8/fleet.snapshot")
 	assert.NilError(t, err)
@@ -57,8 +58,8 @@
 	assert.DeepEqual(t, again, data)
 }
 
-// TestGoldenCommands wants the commands that build 55b4ff8 has written to have the effect that
-// they had there.
+// TestGoldenCommands applies the log of build 55b4ff8: its commands must have the same effect
+// as in that build.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.CopyFS(dir, os.DirFS("../control/testdata/55b4ff8/whole")))
