--- a/spread/file_fuzz_test.go
+++ b/spread/file_fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/ledgepin/ledgepin/spread"
 )
 
-// FuzzFile feeds the reader of the kept settings any file: what it takes is what it would
-// write, and settings that can't be read change nothing.
+// FuzzFile reads arbitrary files: one that is accepted must be what Write writes for its
+// content, and settings that can't be parsed must not change the store.
 func FuzzFile(f *testing.F) {
 	dir := f.TempDir()
 	assert.NilError(f, spread.NewFile(dir).Write(7, []byte("fleet: {}\n")))
--- a/spread/golden_test.go
+++ b/spread/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/spread"
 )
 
-// TestGoldenSettings wants the settings that an entry of build 55b4ff8 has kept.
+// TestGoldenSettings reads the file of settings that an entry of build 55b4ff8 wrote.
 func TestGoldenSettings(t *testing.T) {
 	revision, got, err := spread.NewFile("testdata/55b4ff8").Read()
 	assert.NilError(t, err)
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,9 +1,10 @@
-// Package spread brings the accepted settings to every process and never back.
+// Package spread distributes the accepted settings to every process. The revision of a
+// process never decreases.
 //
-// Each process keeps the newest revision that it has seen, on disk where it
-// has one. A push carries a delta to the revision before, or the whole text. A
-// process that missed a push sees a higher revision in a heartbeat and pulls.
-// Store is the plain state of one process.
+// Each process stores the newest revision that it has received, on disk if it has one. An
+// update contains a delta to the previous revision, or the full text. A process that missed
+// an update sees a higher revision in a heartbeat and pulls it. Store is the state of one
+// process, without I/O.
 package spread
 
 import (
@@ -14,18 +15,18 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Outcome is what became of a message with settings.
+// Outcome is the result of applying an update.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Old means that the revision is not higher than the one held.
+	// Stale means that the revision is not higher than that of the store.
 	Stale Outcome = iota
-	// Taken means that the revision is in force now.
+	// Applied means that the store has the new revision.
 	Applied
-	// NeedWhole means that the delta does not fit, so the whole text is needed.
+	// NeedFullText means that the delta does not apply to the text of the store.
 	NeedFullText
-	// Bad means that the text does not parse or has another hash.
+	// Invalid means that the update is empty, or its text does not parse or has another hash.
 	Invalid
 )
 
@@ -37,12 +38,14 @@
 	tree      *settings.Tree
 	confirmed bool
 	since     time.Time
-	// last is the newest delta, kept to be passed on.
+	// lastDelta is the update from the previous revision, to be sent on to peers; nil if the
+	// store had no text before.
 	lastDelta *wire.Settings
 }
 
-// Load enters settings that the process kept on its disk. They are not
-// confirmed: the process must not act on them until it has heard from others.
+// Load sets the settings that the process stored on its disk. They are not confirmed: the
+// process must not act on them until other processes have confirmed them, since control may
+// have accepted newer ones in the meantime.
 func (s *Store) Load(revision uint64, text []byte) error {
 	tree, err := settings.Parse("settings", text)
 	if err != nil {
@@ -52,7 +55,7 @@
 	return nil
 }
 
-// Apply takes settings from control, a relay or an entry.
+// Apply applies an update from control, a relay, an entry or an agent.
 func (s *Store) Apply(now time.Time, m *wire.Settings) Outcome {
 	if m.Revision < s.revision || m.Revision == s.revision && s.tree != nil {
 		s.confirm(m)
@@ -91,31 +94,32 @@
 	}
 }
 
-// confirm notes that control vouched for the revision that is held.
+// confirm marks the revision as confirmed by control, if the update is about the same text.
 func (s *Store) confirm(m *wire.Settings) {
 	if m.Revision == s.revision && m.Sum == s.sum {
 		s.confirmed = s.confirmed || m.Confirmed
 	}
 }
 
-// Tree returns the settings in force, or nil.
+// Tree returns the settings of the store, or nil.
 func (s *Store) Tree() *settings.Tree { return s.tree }
 
-// Revision returns the revision held; zero if none.
+// Revision returns the revision of the settings, or zero if there are none.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// Confirmed tells whether control has vouched for the revision since the
-// process started.
+// Confirmed reports whether control has confirmed the revision since the process started.
 func (s *Store) Confirmed() bool { return s.confirmed && s.tree != nil }
 
-// Since tells when the revision came into force here.
+// Since returns when the revision was applied here.
 func (s *Store) Since() time.Time { return s.since }
 
 // Text returns the text of the settings.
 func (s *Store) Text() []byte { return s.text }
 
-// Push returns the message for a peer that holds revision have: nothing if it
-// has the newest, a delta if it is one behind, else the whole text.
+// UpdateFor returns the update for a peer that has the given revision: one without text if it
+// is the same, which reports only whether the revision is confirmed, a delta if the peer is one
+// revision behind, otherwise the full text. It returns nil if the peer has a higher revision or
+// the store has no settings.
 func (s *Store) UpdateFor(have uint64) *wire.Settings {
 	if s.tree == nil || have > s.revision {
 		return nil
