--- a/entry/agents.go
+++ b/entry/agents.go
@@ -16,28 +16,29 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// agentLink is the link to one agent, opened again whenever it breaks.
+// agentLink is the link to one agent. It is reopened whenever it breaks.
 type agentLink struct {
 	name   string
 	addr   string
 	placed settings.PlacedServer
 	stop   context.CancelFunc
-	link   *wire.Link // nil while it is down
-	// leaving is the agent's own report that its server takes no new work.
+	link   *wire.Link // nil while disconnected
+	// leaving is set if the agent reported that its server accepts no new work.
 	leaving bool
-	// lost is when the link broke; zero if it never was up or is up.
+	// disconnectedAt is when the link last broke; zero if it was never connected.
 	disconnectedAt time.Time
-	// gone tells that the grace is over and the work there was given up.
+	// abandoned is set once the work at the server has been given up, reconnectTimeout after
+	// the link broke, and before the first connection.
 	abandoned bool
-	// reported tells that a load came over the present link, and told that what
-	// its engine has loaded did.
+	// loadReported and assetsReported are set if the load and the assets of the engine were
+	// received over the current link.
 	loadReported, assetsReported bool
 	assets                       []string
 	role                         string
 }
 
-// dialAgent starts the loop that keeps a link to an agent. Callers hold the
-// lock.
+// startAgentLink starts the loop that keeps a link to an agent open. Callers
+// hold the lock.
 func (e *Entry) startAgentLink(p settings.PlacedServer) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	a := &agentLink{name: p.Name, addr: p.Agent, placed: p, stop: cancel, abandoned: true}
@@ -77,7 +78,8 @@
 	time.AfterFunc(reconnectTimeout, func() { e.abandonDisconnected(a) })
 }
 
-// checkGrace gives up the work at an agent whose link has been down too long.
+// abandonDisconnected gives up the work at an agent that has been disconnected for
+// reconnectTimeout.
 func (e *Entry) abandonDisconnected(a *agentLink) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +108,7 @@
 	e.perform(now, effects)
 }
 
-// handleAgent takes one message of an agent.
+// handleAgent handles one message of an agent.
 func (e *Entry) handleAgent(a *agentLink, l *wire.Link, m *wire.Message) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,14 +162,15 @@
 	e.perform(now, e.core.Report(now, a.name, e.withLeaving(a, *h.Load)))
 }
 
-// marked adds to a load what the platform's list says of the server.
+// withLeaving returns a load that is also marked as leaving if the platform lists the server
+// as leaving.
 func (e *Entry) withLeaving(a *agentLink, l placement.Load) placement.Load {
 	a.leaving = l.Leaving
 	l.Leaving = l.Leaving || e.leaving[a.name]
 	return l
 }
 
-// chunk gives a part of an answer to its caller.
+// handleChunk delivers a part of an answer to its caller.
 func (e *Entry) handleChunk(now time.Time, c *wire.Chunk) {
 	f := e.flows[c.Req]
 	if f == nil {
@@ -195,7 +198,7 @@
 }
 
 // perform carries out the effects of the router. A message that can't be sent
-// goes back to it as a failure. Callers hold the lock.
+// is reported to the router as a failure. Callers hold the lock.
 func (e *Entry) perform(now time.Time, effects []router.Effect) {
 	for len(effects) > 0 {
 		next := effects[0]
@@ -212,11 +215,11 @@
 	case router.Reserve:
 		m := &wire.Reserve{ID: x.ID, Model: x.Model, Priority: x.Priority, Tokens: x.Tokens, Hold: x.Hold, Keep: x.Keep}
 		if !e.sendToAgent(x.Server, &wire.Message{Reserve: m}) {
-			return e.core.Failed(now, x.Server, x.ID, fault.StepReserve, "no link", false)
+			return e.core.Failed(now, x.Server, x.ID, fault.StepReserve, "no link to the agent", false)
 		}
 	case router.StartPrefill:
 		if f := e.flows[x.ID.Req]; f != nil && !e.sendToAgent(x.Server, &wire.Message{Prefill: &wire.Prefill{ID: x.ID, Request: f.request()}}) {
-			return e.core.Failed(now, x.Server, x.ID, fault.StepPrefill, "no link", false)
+			return e.core.Failed(now, x.Server, x.ID, fault.StepPrefill, "no link to the agent", false)
 		}
 	case router.StartDecode:
 		return e.startDecode(now, x)
@@ -240,20 +243,20 @@
 	f.decodeServer = x.Server
 	m := &wire.Decode{ID: x.ID, Request: f.request(), KV: x.KV, From: f.asm.Next()}
 	if !e.sendToAgent(x.Server, &wire.Message{Decode: m}) {
-		return e.core.Failed(now, x.Server, x.ID, fault.StepTransfer, "no link", false)
+		return e.core.Failed(now, x.Server, x.ID, fault.StepTransfer, "no link to the agent", false)
 	}
 	return nil
 }
 
-// toAgent sends a message; it reports false if there is no link.
+// sendToAgent sends a message and reports whether there was a link for it.
 func (e *Entry) sendToAgent(name string, m *wire.Message) bool {
 	a := e.agents[name]
 	return a != nil && a.link != nil && a.link.Send(m) == nil
 }
 
-// passOrder sends an order of control on to its agent. Control sends each
-// order over one link only, so there is one way to an agent. Callers hold the
-// lock.
+// forwardOrder forwards an order of control to its agent, or to all agents if it only
+// sets the lowest valid fence. Control sends each order over one link only, so that the
+// orders for an agent take a single path. Callers hold the lock.
 func (e *Entry) forwardOrder(m *wire.Message) {
 	if !m.Order.Floor {
 		e.sendToAgent(m.Order.Server, m)
@@ -264,8 +267,8 @@
 	}
 }
 
-// summary tells control what this availability zone has. Callers hold the
-// lock.
+// summary returns the report to control about the servers of this availability
+// zone. Callers hold the lock.
 func (e *Entry) summary() *wire.Summary {
 	out := &wire.Summary{Zone: e.cfg.Zone}
 	for name, a := range e.agents {
@@ -281,8 +284,8 @@
 	return out
 }
 
-// Reachable counts the servers that could take work now: those with a link
-// and, for model servers, a free slot.
+// AvailableServers returns the number of servers that can accept work now: those with a
+// link and, for model servers, a free slot and a loaded model.
 func (e *Entry) AvailableServers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/borrow.go
+++ b/entry/borrow.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// smallFleet is the number of servers up to which an entry keeps a link to
-	// each; in a larger one it has links to its own zone, and borrows.
+	// smallFleet is the number of servers up to which an entry has a link to each
+	// of them. In a larger fleet it has links to the servers of its own zone, and
+	// borrows servers of other zones.
 	smallFleet = 64
-	// borrowEach is the number of servers of each role that are borrowed.
+	// borrowedPerRole is the number of servers of each role that are borrowed for a model.
 	borrowedPerRole = 4
-	// borrowTime is how long they are kept after the zone was last short.
+	// borrowDuration is how long they are kept after the last shortage in the zone.
 	borrowDuration = 30 * time.Second
-	// shortTime is how long a refusal counts as a sign that the zone is short.
+	// shortageDuration is how long the zone counts as short of a model after a refusal.
 	shortageDuration = 5 * time.Second
 )
 
-// linked tells whether the entry of a large fleet keeps a link to a server of
-// another zone: those of plain services, which vote on claims, and those that
-// are borrowed.
+// keepsLink reports whether the entry of a large fleet has a link to a server of
+// another zone. It has links to servers of plain services, whose agents vote on
+// claims, and to borrowed servers.
 func (e *Entry) keepsLink(p settings.PlacedServer) bool {
 	_, ok := e.borrowed[p.Name]
 	return ok || p.Role == settings.RoleService
 }
 
-// takeZones keeps what other zones have free and passes it on. Callers hold
-// the lock.
+// handleZones stores the free capacity of the zones and forwards it downstream.
+// Callers hold the lock.
 func (e *Entry) handleZones(m *wire.Message) {
 	e.zoneCapacity = m.Zones.Free
 	for l := range e.downstream {
@@ -39,8 +40,8 @@
 	}
 }
 
-// spill borrows servers of the zone with the most room while the entry's own
-// zone is short of a model, and gives them back after. Callers hold the lock.
+// borrowServers borrows servers of the zone with the most capacity while the entry's
+// own zone is short of a model, and releases them afterwards. Callers hold the lock.
 func (e *Entry) borrowServers(now time.Time) {
 	changed := false
 	for name, until := range e.borrowed {
@@ -63,7 +64,7 @@
 	}
 }
 
-// borrow picks servers for a model; it reports whether there are new ones.
+// borrowFor borrows servers for a model, and reports whether some of them are new.
 func (e *Entry) borrowFor(now time.Time, model string) bool {
 	zone := e.zoneWithMostCapacity(model)
 	if zone == "" {
@@ -85,8 +86,8 @@
 	return changed
 }
 
-// roomiest returns the other zone with the most room for a model, by the
-// scarcer of its two roles.
+// zoneWithMostCapacity returns the other zone with the most capacity for a model, by the
+// scarcer of its two roles, or "" if there is none.
 func (e *Entry) zoneWithMostCapacity(model string) string {
 	best, maxFree := "", 0
 	for _, z := range e.zoneCapacity {
@@ -97,7 +98,7 @@
 	return best
 }
 
-// byNearness lists the servers of a zone for a model in an order that differs
+// rankedServers returns the servers of a zone for a model in an order that differs
 // between entries, so that they do not all borrow the same ones.
 func (e *Entry) rankedServers(zone, model string) []settings.PlacedServer {
 	var out []settings.PlacedServer
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -18,27 +18,28 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// ServiceCall is a call of a plain service as a caller brings it.
+// ServiceCall is a call of a plain service as received from a caller.
 type ServiceCall struct {
 	Grant   settings.Grant
 	Service string
-	Key     string
+	Key     string // the Idempotency-Key; empty if none
 	Method  string
 	Path    string
 	Type    string
 	Body    []byte
 }
 
-// callWait is a call that was sent and has no answer yet.
+// pendingCall is a call that was sent and has no answer yet.
 type pendingCall struct {
 	server string
 	answer chan *wire.Answer
 }
 
-// callTries bounds the servers that a call is tried at.
+// maxCallAttempts is the maximum number of servers that a call is sent to.
 const maxCallAttempts = 3
 
-// Call runs a call of a plain service and returns the service's answer.
+// Call sends a call to a server of its plain service and returns the answer and the ID
+// of the call, which is set for errors, too.
 func (e *Entry) Call(ctx context.Context, c ServiceCall) (*claim.Answer, string, error) {
 	id := NewID()
 	e.mu.Lock()
@@ -48,14 +49,14 @@
 	}
 	if e.draining {
 		e.mu.Unlock()
-		return nil, id, fault.New(fault.Draining, fault.StepAdmit, e.cfg.Name, "this entry is leaving")
+		return nil, id, fault.New(fault.Draining, fault.StepAdmit, e.cfg.Name, "this entry is draining")
 	}
 	tree := e.store.Tree()
 	svc, ok := tree.Fleet.Services[c.Service]
 	e.addStepLocked(id, c, decision.Step{Kind: decision.Arrived, Detail: c.Method + " " + c.Path})
 	e.mu.Unlock()
 	if !ok {
-		return nil, id, fault.New(fault.UnknownService, fault.StepAdmit, "", "no service "+c.Service)
+		return nil, id, fault.New(fault.UnknownService, fault.StepAdmit, "", "the settings have no service "+c.Service)
 	}
 	if !isOnce(svc, c.Path) {
 		ans, err := e.callRepeatable(ctx, id, c, svc)
@@ -65,7 +66,7 @@
 	return ans, id, err
 }
 
-// once tells whether a call may not be repeated.
+// isOnce reports whether calls to a path must not be repeated.
 func isOnce(svc settings.Service, path string) bool {
 	for _, prefix := range svc.Once {
 		if strings.HasPrefix(path, prefix) {
@@ -75,7 +76,7 @@
 	return false
 }
 
-// tell adds a step to the record of a plain call. Callers hold the lock.
+// addStepLocked adds a step to the record of a plain call. Callers hold the lock.
 func (e *Entry) addStepLocked(id string, c ServiceCall, s decision.Step) {
 	rec := e.callRecords.GetOrCreate(id)
 	rec.Customer, rec.Class = c.Grant.Customer, c.Grant.Class
@@ -83,9 +84,9 @@
 	rec.Add(s)
 }
 
-// repeatable tries one server after the other until one answers.
+// callRepeatable sends a call to one server after the other until one answers.
 func (e *Entry) callRepeatable(ctx context.Context, id string, c ServiceCall, svc settings.Service) (*claim.Answer, error) {
-	lastDetail := "no server of the service is in reach"
+	lastDetail := "no server of the service is available"
 	sent := false
 	for try, name := range e.serversOf(c.Service) {
 		if try >= maxCallAttempts || ctx.Err() != nil {
@@ -122,8 +123,8 @@
 	return e.core.TakeRetry()
 }
 
-// servers lists the servers of a service that may get new work, those of this
-// zone first.
+// serversOf returns the servers of a service that accept new work in random order,
+// those of this availability zone first.
 func (e *Entry) serversOf(service string) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,8 +147,8 @@
 	return append(local, remote...)
 }
 
-// send gives a call to an agent and waits for the answer. It reports false if
-// there is none, so that the outcome is not known.
+// sendCall sends a call to an agent and waits for the answer. It reports false if
+// there is none, so that the outcome is unknown.
 func (e *Entry) sendCall(ctx context.Context, id lease.ID, server string, c ServiceCall, svc settings.Service, once bool) (*wire.Answer, bool) {
 	limit := svc.TimeoutOrDefault()
 	w := &pendingCall{server: server, answer: make(chan *wire.Answer, 1)}
@@ -164,7 +165,7 @@
 		e.mu.Unlock()
 	}()
 	if !ok {
-		return &wire.Answer{Detail: "no link to its agent"}, true
+		return &wire.Answer{Detail: "no link to the agent"}, true
 	}
 	t := time.NewTimer(limit + time.Second)
 	defer t.Stop()
@@ -189,8 +190,8 @@
 	}
 }
 
-// failCalls ends the wait for answers of an agent whose link broke. Callers
-// hold the lock.
+// failCalls ends the pending calls at an agent whose link broke, without an answer.
+// Callers hold the lock.
 func (e *Entry) failCalls(server string) {
 	for _, w := range e.pendingCalls {
 		if w.server == server {
@@ -202,10 +203,10 @@
 	}
 }
 
-// atMostOnce claims the key of a call before it is sent.
+// callAtMostOnce sends a call only after it has won the claim for the call's key.
 func (e *Entry) callAtMostOnce(ctx context.Context, id string, c ServiceCall, svc settings.Service, tree *settings.Tree) (*claim.Answer, error) {
 	if c.Key == "" {
-		return nil, fault.New(fault.KeyRequired, fault.StepClaim, "", "send an Idempotency-Key with this call")
+		return nil, fault.New(fault.KeyRequired, fault.StepClaim, "", "this call requires an Idempotency-Key header")
 	}
 	site, members := claimGroup(svc, tree.Fleet.Customers[c.Grant.Customer].Home)
 	ask := claim.VoteRequest{
@@ -220,7 +221,7 @@
 	return e.callClaimed(ctx, id, c, svc, ask, members)
 }
 
-// bodyHash tells calls with the same key apart.
+// bodyHash returns a hash by which different calls with the same key are recognised.
 func bodyHash(c ServiceCall) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.Method + " " + c.Path + "\n"))
@@ -228,7 +229,8 @@
 	return h.Sum64()
 }
 
-// notWon tells the caller why its attempt sent nothing.
+// claimError returns the recorded answer of an earlier attempt, or an error that says why this
+// attempt sent nothing. It releases the claim where this attempt may hold votes.
 func (e *Entry) claimError(v claim.Verdict, p *claim.Proposer, ask claim.VoteRequest, members []string) (*claim.Answer, error) {
 	if v != claim.KeyReused {
 		e.releaseClaim(ask, members)
@@ -246,10 +248,10 @@
 	return nil, fault.New(fault.ClaimNotWon, fault.StepClaim, ask.Group, "no majority for the claim")
 }
 
-// runOnce sends a call whose claim is won. Only a send that surely did not
-// reach the service goes on to another server.
+// callClaimed sends a call whose claim is won. It tries another server only if the
+// call certainly did not reach the service.
 func (e *Entry) callClaimed(ctx context.Context, id string, c ServiceCall, svc settings.Service, ask claim.VoteRequest, members []string) (*claim.Answer, error) {
-	lastDetail := "no server of the service is in reach"
+	lastDetail := "no server of the service is available"
 	for try, name := range e.serversOf(c.Service) {
 		if try >= maxCallAttempts {
 			break
@@ -257,8 +259,8 @@
 		ans, ok := e.sendCall(ctx, lease.ID{Req: id, Attempt: uint32(try + 1)}, name, c, svc, true)
 		if !ok || ans.Sent && ans.Detail != "" {
 			event.ClaimUnknown.Log(e.log, "request", id, "server", name)
-			e.addStep(id, c, decision.Step{Kind: decision.Failure, Server: name, Detail: "sent, and no answer"})
-			return nil, fault.New(fault.OutcomeUnknown, fault.StepCall, name, "the call was sent and no answer came")
+			e.addStep(id, c, decision.Step{Kind: decision.Failure, Server: name, Detail: "sent, but no answer was received"})
+			return nil, fault.New(fault.OutcomeUnknown, fault.StepCall, name, "the call was sent, but no answer was received")
 		}
 		if ans.Sent {
 			out := &claim.Answer{Status: ans.Status, Type: ans.Type, Body: ans.Body}
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -10,17 +10,17 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// claimWait is a claim whose votes are awaited.
+// pendingClaim is a claim that waits for votes.
 type pendingClaim struct {
 	proposer *claim.Proposer
 	verdict  chan claim.Verdict
 }
 
-// claimTimeout is how long the votes of a claim group are awaited.
+// claimTimeout is how long a claim waits for the votes of its group.
 const claimTimeout = time.Second
 
-// group returns the claim group of a service for a customer: that of its home
-// site, or the first one.
+// claimGroup returns the site and members of the claim group of a service for a customer:
+// the group of the customer's home site, or else the first one by the name of its site.
 func claimGroup(svc settings.Service, home string) (string, []string) {
 	if members, ok := svc.ClaimGroup[home]; ok {
 		return home, members
@@ -34,7 +34,7 @@
 	return first, svc.ClaimGroup[first]
 }
 
-// claim asks the members of a group for their votes.
+// claim requests the votes of the members of a group and returns the verdict.
 func (e *Entry) claim(ctx context.Context, ask claim.VoteRequest, members []string) (claim.Verdict, *claim.Proposer) {
 	p := claim.NewProposer(ask.Attempt, len(members))
 	w := &pendingClaim{proposer: p, verdict: make(chan claim.Verdict, 1)}
@@ -72,29 +72,29 @@
 	}
 }
 
-// recordWait is an outcome that a majority of the voters has not taken yet.
+// pendingRecord is an outcome that a majority of the voters has not confirmed yet.
 type pendingRecord struct {
-	// missing is the number of voters that must still answer.
+	// missing is the number of voters that must still confirm it.
 	missing int
 	timer   *time.Timer
 	done    chan struct{}
 }
 
-// giveUp frees the grants of an attempt that sent nothing.
+// releaseClaim releases the votes for an attempt that sent nothing.
 func (e *Entry) releaseClaim(ask claim.VoteRequest, members []string) {
 	e.sendRecord(&claim.Record{Key: ask.Key, Attempt: ask.Attempt}, members)
 }
 
-// tellGroup tells the voters the outcome of an attempt. The channel that it returns
-// is closed once a majority of them has taken it, or claimTimeout later: a retry
-// through another entry that its caller sends after that finds the outcome.
+// sendRecord sends the outcome of an attempt to the voters. The channel that it returns
+// is closed once a majority of them has recorded it, or recordTimeout later. A retry that
+// the caller then sends through another entry finds the outcome.
 func (e *Entry) sendRecord(r *claim.Record, members []string) <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.sendRecordLocked(r, members)
 }
 
-// tellGroupLocked is tellGroup for callers that hold the lock.
+// sendRecordLocked is sendRecord for callers that hold the lock.
 func (e *Entry) sendRecordLocked(r *claim.Record, members []string) <-chan struct{} {
 	sent := 0
 	for _, name := range members {
@@ -116,7 +116,8 @@
 	return w.done
 }
 
-// outcomeTaken takes a voter's report that it has an outcome. Callers hold the lock.
+// handleRecorded handles the confirmation of a voter that it has recorded an outcome. Callers
+// hold the lock.
 func (e *Entry) handleRecorded(attempt string) {
 	w := e.pendingRecords[attempt]
 	if w == nil {
@@ -127,7 +128,7 @@
 	}
 }
 
-// endRecord ends the wait for an outcome to be taken. Callers hold the lock.
+// endRecord ends the wait for an outcome to be recorded. Callers hold the lock.
 func (e *Entry) endRecord(attempt string, w *pendingRecord) {
 	if e.pendingRecords[attempt] == w {
 		w.timer.Stop()
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,8 +1,8 @@
-// Package entry is the process that callers reach through the platform's
-// balancer.
+// Package entry implements the process that callers reach through the
+// platform's load balancer.
 //
-// It admits, places and follows requests by the decisions of package router,
-// over links to the agents of its availability zone. It keeps no state that
-// may not be lost: if it dies, its leases run out at the agents and the
-// callers ask another entry.
+// It admits, places and tracks requests by the decisions of package router,
+// over links to the agents of its availability zone. It has no state that must
+// survive: if it crashes, its leases expire at the agents and the callers
+// retry at another entry.
 package entry
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -10,7 +10,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Dump is the state of an entry.
+// Dump is the state of an entry for operators.
 type Dump struct {
 	Name     string                `json:"name"`
 	Zone     string                `json:"zone"`
@@ -27,7 +27,7 @@
 	Leaving  []string              `json:"leaving"`
 }
 
-// ServerDump is what the entry knows of one server.
+// ServerDump is the state of one server as seen by the entry.
 type ServerDump struct {
 	Name      string   `json:"name"`
 	Role      string   `json:"role"`
@@ -62,7 +62,7 @@
 	return d
 }
 
-// Collect brings the gauges of the entry up to date.
+// Collect updates the gauges of the entry.
 func (e *Entry) Collect() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +89,7 @@
 	metric.LinkBytes.WithLabelValues(name, "received").Set(float64(t.Received))
 }
 
-// traffic adds up what crossed the open links. Callers hold the lock.
+// traffic returns the sum of the traffic of all open links. Callers hold the lock.
 func (e *Entry) traffic() wire.Traffic {
 	var sum wire.Traffic
 	add := func(l *wire.Link) {
@@ -107,21 +107,21 @@
 	return sum
 }
 
-// Traffic returns what has crossed the open links.
+// Traffic returns the sum of the traffic of all open links.
 func (e *Entry) Traffic() wire.Traffic {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.traffic()
 }
 
-// Revision returns the settings revision in force; zero if none.
+// Revision returns the revision of the settings in force, or zero if there is none.
 func (e *Entry) Revision() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.revisionInForce()
 }
 
-// OpenLinks counts the open links to agents.
+// OpenLinks returns the number of open links to agents.
 func (e *Entry) OpenLinks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -20,41 +20,41 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Config is what an entry needs to know of itself.
+// Config configures an entry.
 type Config struct {
 	Name string
 	Zone string
-	// Upstream are the addresses of control replicas or relays, tried in turn.
+	// Upstream are the addresses of control replicas or relays, tried one after the other.
 	Upstream []string
-	// Peers are addresses of processes of the site that hold settings, asked
-	// when control is out of reach at the start.
+	// Peers are addresses of processes of the site that have settings. They are used
+	// if control is unreachable when the entry starts.
 	Peers []string
-	// Token is the bearer token that peers share.
+	// Token is the bearer token that all peers share.
 	Token string
-	// TLS is for the links that it opens; nil for plain TCP.
+	// TLS configures the links that the entry opens; nil for plain TCP.
 	TLS *tls.Config
 	// Platform is the address of the platform's list of VMs; empty if this
-	// entry hears of leaving VMs from its relay.
+	// entry receives the leaving VMs from its relay.
 	Platform string
-	// Keep is where settings are kept; nil if the VM has no disk.
+	// SettingsFile stores the settings; nil if the VM has no disk.
 	SettingsFile *spread.File
 	Log          *slog.Logger
 }
 
-// Times of the entry.
+// Times and limits of an entry.
 const (
 	heartbeatInterval = 2 * time.Second
 	minRedialDelay    = 100 * time.Millisecond
 	maxRedialDelay    = 2 * time.Second
-	// linkGrace is how long the work at an agent outlives the loss of its link.
+	// reconnectTimeout is how long the work at an agent is kept after its link broke.
 	reconnectTimeout = time.Second
-	// bootWait is how long an entry that starts waits for control before it
-	// asks the peers of its site.
+	// controlTimeout is how long a starting entry waits for control before it
+	// requests the settings of its peers.
 	controlTimeout = 3 * time.Second
 	maxRecords     = 4096
 )
 
-// Entry is the process.
+// Entry is an entry process.
 type Entry struct {
 	cfg    Config
 	log    *slog.Logger
@@ -69,36 +69,37 @@
 	degraded bool
 	grants   map[string]settings.Grant
 	core     *router.Core
-	// fleet are the limits of the fleet, and limits those of each model in the
-	// first pool of this zone that prefills it; worked out once a revision.
+	// fleetLimits are the limits of the fleet, and limitsByModel those of each model in the
+	// first pool of this zone that prefills it. They are computed once for each revision.
 	fleetLimits    settings.Effective
 	limitsByModel  map[string]settings.Effective
 	flows          map[string]*Flow
 	agents         map[string]*agentLink
-	downstream     map[*wire.Link]bool // relay links to processes below
+	downstream     map[*wire.Link]bool // links of the entries that use this one as a relay
 	upstream       *wire.Link
 	leaving        map[string]bool
-	flowsByKey     map[string]*Flow // open flows by customer and key
+	flowsByKey     map[string]*Flow // open requests by customer and Idempotency-Key
 	pendingClaims  map[string]*pendingClaim
 	pendingRecords map[string]*pendingRecord // by attempt
-	// recordTimeout is how long an outcome waits to be taken: claimTimeout, but in tests.
+	// recordTimeout is how long an outcome waits for a majority of the voters: claimTimeout,
+	// except in tests.
 	recordTimeout     time.Duration
 	pendingCalls      map[string]*pendingCall
 	draining          bool
 	started           time.Time
-	persistSignal     chan struct{}  // settings to write to the disk
+	persistSignal     chan struct{}  // signals that settings must be written to the disk
 	callRecords       *decision.Ring // records of plain calls
 	zoneCapacity      []wire.ZoneFree
-	borrowed          map[string]time.Time // servers of other zones, until when
-	shortages         map[string]time.Time // when this zone last had no room for a model
+	borrowed          map[string]time.Time // until when servers of other zones are borrowed
+	shortages         map[string]time.Time // when this zone last had no capacity for a model
 	holder            *quota.Holder
 	broker            *quota.Broker
-	sharesRequestedAt time.Time // of the last wish out of turn
-	removalPending    bool      // a server that is out of the settings still has work
+	sharesRequestedAt time.Time // time of the last request outside of the heartbeats
+	removalPending    bool      // a server that was removed from the settings still has work
 	heartbeats        int
 }
 
-// Start returns a running entry.
+// Start starts an entry. Close stops it.
 func Start(cfg Config) *Entry {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := clock.VM.Now()
@@ -133,7 +134,7 @@
 	return e
 }
 
-// Handler serves the links of entries below, if this one is a relay.
+// Handler serves the links of the entries that use this one as a relay.
 func (e *Entry) Handler() http.Handler {
 	return wire.Handler(e.log, e.options(), e.serveDownstream)
 }
@@ -148,7 +149,7 @@
 	return wire.Hello{Name: e.cfg.Name, Role: wire.RoleEntry, Zone: e.cfg.Zone, Epoch: e.epoch, Revision: e.store.Revision()}
 }
 
-// Drain refuses new work and waits until the open requests have ended or ctx
+// Drain refuses new work and waits until all open requests have ended or ctx
 // is done.
 func (e *Entry) Drain(ctx context.Context) {
 	e.mu.Lock()
@@ -167,14 +168,14 @@
 	}
 }
 
-// OpenRequests counts the requests and calls in progress.
+// OpenRequests returns the number of requests, calls, claims and outcomes in progress.
 func (e *Entry) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.flows) + len(e.pendingCalls) + len(e.pendingClaims) + len(e.pendingRecords)
 }
 
-// Close ends the entry at once.
+// Close stops the entry immediately.
 func (e *Entry) Close() {
 	e.cancel()
 	e.mu.Lock()
@@ -221,7 +222,8 @@
 	}
 }
 
-// beat sends one heartbeat on every link; it renews all leases of this entry.
+// sendHeartbeats sends a heartbeat on every link, which renews all leases of this entry at the
+// agents.
 func (e *Entry) sendHeartbeats() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -246,7 +248,7 @@
 	}
 }
 
-// slowBeat does what is due every few heartbeats. Callers hold the lock.
+// runPeriodicTasks runs the tasks that are due every few heartbeats. Callers hold the lock.
 func (e *Entry) runPeriodicTasks(now time.Time) {
 	if e.heartbeats%summaryHeartbeats == 0 {
 		e.sendSummary()
@@ -260,22 +262,22 @@
 	}
 }
 
-// tellSummary tells control what this zone has, if this entry has a link to it.
-// Callers hold the lock.
+// sendSummary sends the summary of this zone to control, if this entry has a link to
+// control. Callers hold the lock.
 func (e *Entry) sendSummary() {
 	if e.upstream != nil && e.upstream.Peer.Role == wire.RoleControl && e.settingsUsable() {
 		_ = e.upstream.Send(&wire.Message{Summary: e.summary()})
 	}
 }
 
-// Heartbeats between two summaries and two wishes for shares.
+// Heartbeats between two summaries, and between two requests for shares.
 const (
 	summaryHeartbeats = 2
 	shareHeartbeats   = 1
 )
 
-// Ready tells whether the entry can serve, and if not, why. A degraded entry
-// is ready and says so.
+// Ready reports whether the entry can serve, and if not, why. A degraded entry
+// is ready, and the text says that it is degraded.
 func (e *Entry) Ready() (bool, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -285,12 +287,12 @@
 	case !e.settingsUsable():
 		return false, "no confirmed settings yet"
 	case e.degraded:
-		return true, "degraded: settings from the site's peers, control is out of reach"
+		return true, "degraded: the settings come from peers of the site, control is unreachable"
 	}
 	return true, ""
 }
 
-// Explain returns the record of a request at this entry.
+// Explain returns this entry's record of a request or call.
 func (e *Entry) Explain(id string) (decision.Record, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/export_test.go
+++ b/entry/export_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SetRecordTimeout sets how long outcomes wait to be taken by the voters.
+// SetRecordTimeout sets how long outcomes wait to be recorded by a majority of the voters.
 func (e *Entry) SetRecordTimeout(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -21,7 +21,7 @@
 	"github.com/ledgepin/ledgepin/stream"
 )
 
-// Job is a model request as a caller brings it.
+// ModelRequest is a model request as received from a caller.
 type ModelRequest struct {
 	Grant settings.Grant
 	// Key is the caller's Idempotency-Key; empty if none.
@@ -29,10 +29,11 @@
 	Request engine.Request
 }
 
-// bufferedParts bounds the tokens that wait for a slow reader.
+// maxBufferedParts is the number of parts that are buffered for a slow reader. A caller that
+// falls further behind is disconnected.
 const maxBufferedParts = 256
 
-// Flow is one open request and the way of its answer to the caller.
+// Flow is an open model request and the stream of its answer to the caller.
 type Flow struct {
 	// ID names the request in logs, records and the X-Request-Id header.
 	ID string
@@ -45,9 +46,9 @@
 	once         sync.Once
 	err          error // set before parts is closed
 	decodeServer string
-	finishReason string // why the answer ended
+	finishReason string // of the last part
 	claim        *onceClaim
-	// start gives the request to the router; nil once that is done.
+	// arrive passes the request to the router; nil once that is done.
 	arrive       func(now time.Time)
 	class        string
 	target       settings.Class
@@ -65,8 +66,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Next returns the next part of the answer; io.EOF after the last one, or the
-// error that ended the request.
+// Next returns the next part of the answer, or the error that ended the request; io.EOF
+// after the last part.
 func (f *Flow) Next(ctx context.Context) (stream.Chunk, error) {
 	select {
 	case p, ok := <-f.parts:
@@ -82,17 +83,18 @@
 	}
 }
 
-// PromptTokens returns the estimated length of the prompt.
+// PromptTokens returns the estimated length of the prompt in tokens.
 func (f *Flow) PromptTokens() int { return f.promptTokens }
 
-// Cancel tells that the caller is gone. It may be called at any time.
+// Cancel cancels the request because its caller disconnected. It may be called at any
+// time.
 func (f *Flow) Cancel() {
-	if f.entry != nil { // nil for an answer that was recorded before
+	if f.entry != nil { // nil for a recorded answer
 		f.entry.callerDisconnected(f)
 	}
 }
 
-// push queues a part; it reports false if the caller does not read.
+// enqueue queues a part for the caller. It reports false if the queue is full.
 func (f *Flow) enqueue(p stream.Chunk) bool {
 	select {
 	case f.parts <- p:
@@ -102,7 +104,7 @@
 	}
 }
 
-// close ends the parts; only its first call counts.
+// close ends the stream of parts. Only the first call has an effect.
 func (f *Flow) close(err error) {
 	f.once.Do(func() {
 		f.err = err
@@ -110,7 +112,7 @@
 	})
 }
 
-// tokens keeps the times that the targets are measured by.
+// countToken updates the times by which the latency targets are measured.
 func (f *Flow) countToken(now time.Time, p stream.Chunk) {
 	if p.Finish != "" {
 		return
@@ -122,7 +124,7 @@
 	f.lastTokenAt = now
 }
 
-// perToken returns the mean time between tokens.
+// timePerToken returns the mean time between tokens.
 func (f *Flow) timePerToken() time.Duration {
 	if f.tokenCount < 2 {
 		return 0
@@ -130,23 +132,23 @@
 	return f.lastTokenAt.Sub(f.firstTokenAt) / time.Duration(f.tokenCount-1)
 }
 
-// onTarget tells whether an answer that has ended met both targets.
+// metTargets reports whether an answer that has ended met both targets.
 func (f *Flow) metTargets() bool {
 	return f.firstTokenAt.Sub(f.arrivedAt) <= f.target.TTFT.D() && f.timePerToken() <= f.target.TBT.D()
 }
 
-// request returns what the engine is asked, with the answer so far.
+// request returns the request for the engine, with the answer so far.
 func (f *Flow) request() engine.Request {
 	r := f.req
 	r.Sofar, r.SofarTokens = f.asm.Text(), f.asm.Next()
 	return r
 }
 
-// Tokens estimates the length of a prompt.
+// EstimateTokens estimates the length of a text in tokens.
 func EstimateTokens(text string) int { return max(len(text)/placement.BytesPerToken, 1) }
 
-// Submit takes a request. A refusal comes as the error of the first Next, or
-// at once.
+// Submit starts a request. A refusal is returned at once or by the first call of
+// Next.
 func (e *Entry) Submit(ctx context.Context, in ModelRequest) (*Flow, error) {
 	id := NewID()
 	c, done, err := e.claimRequest(ctx, in, id)
@@ -167,7 +169,7 @@
 		return nil, fault.New(fault.NotReady, fault.StepAdmit, e.cfg.Name, "no confirmed settings yet")
 	}
 	if e.draining {
-		return nil, fault.New(fault.Draining, fault.StepAdmit, e.cfg.Name, "this entry is leaving")
+		return nil, fault.New(fault.Draining, fault.StepAdmit, e.cfg.Name, "this entry is draining")
 	}
 	req, limit, err := e.routerRequest(&in)
 	if err != nil {
@@ -201,16 +203,17 @@
 	return f
 }
 
-// plan turns a job into a request for the router.
+// routerRequest returns the request for the router and the number of requests that the
+// customer may have open at this entry. It bounds the output tokens of in and sets its priority.
 func (e *Entry) routerRequest(in *ModelRequest) (router.Request, int, error) {
 	tree := e.store.Tree()
 	class, ok := tree.Fleet.Classes[in.Grant.Class]
 	if !ok {
-		return router.Request{}, 0, fault.New(fault.Unauthorized, fault.StepAuth, "", "the token's class is not in the settings")
+		return router.Request{}, 0, fault.New(fault.Unauthorized, fault.StepAuth, "", "the class of the token does not exist in the settings")
 	}
 	model, ok := tree.Fleet.Models[in.Request.Model]
 	if !ok {
-		return router.Request{}, 0, fault.New(fault.UnknownModel, fault.StepAdmit, "", "no model "+in.Request.Model)
+		return router.Request{}, 0, fault.New(fault.UnknownModel, fault.StepAdmit, "", "the settings have no model "+in.Request.Model)
 	}
 	cust := tree.Fleet.Customers[in.Grant.Customer]
 	lim, ok := e.limitsByModel[in.Request.Model]
@@ -221,7 +224,7 @@
 	tokens := EstimateTokens(text)
 	if tokens > lim.MaxPromptTokens {
 		return router.Request{}, 0, fault.New(fault.PromptTooLong, fault.StepAdmit, "",
-			fmt.Sprintf("about %d prompt tokens, at most %d", tokens, lim.MaxPromptTokens))
+			fmt.Sprintf("the prompt has about %d tokens, the maximum is %d", tokens, lim.MaxPromptTokens))
 	}
 	want := in.Request.Sampling.MaxTokens
 	if want == 0 || want > lim.MaxOutputTokens {
@@ -235,7 +238,7 @@
 	}, e.holder.Limit(in.Grant.Customer, lim.OpenLimit*cust.ShareOrOne()), nil
 }
 
-// gone takes the loss of the caller.
+// callerDisconnected cancels a request whose caller disconnected.
 func (e *Entry) callerDisconnected(f *Flow) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -245,7 +248,7 @@
 	}
 }
 
-// cutOff ends a request from this side.
+// abort cancels a request and ends its answer with an error.
 func (e *Entry) abort(now time.Time, f *Flow, code *fault.Code) {
 	if code == fault.CallerSlow {
 		event.CallerSlow.Log(e.log, "request", f.ID)
@@ -254,8 +257,8 @@
 	e.endFlow(f, fault.New(code, fault.StepStream, "caller", code.Text))
 }
 
-// end ends a flow. That of a request with a claim is closed once the voters know of
-// its outcome. Callers hold the lock.
+// endFlow ends a flow. If the request has a claim, the stream is closed only once the
+// voters have recorded the outcome. Callers hold the lock.
 func (e *Entry) endFlow(f *Flow, err error) {
 	delete(e.flows, f.ID)
 	if recorded := e.recordOutcome(f, err); recorded != nil {
@@ -295,7 +298,7 @@
 	}
 }
 
-// Grant returns what a caller's token allows.
+// Grant returns the grant of a caller's token.
 func (e *Entry) Grant(token string) (settings.Grant, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -304,12 +307,12 @@
 	}
 	g, ok := e.grants[settings.HashToken(token)]
 	if !ok {
-		return g, fault.New(fault.Unauthorized, fault.StepAuth, "", "the token is not known")
+		return g, fault.New(fault.Unauthorized, fault.StepAuth, "", "unknown token")
 	}
 	return g, nil
 }
 
-// Models lists the models in the settings that a server of this entry serves.
+// Models returns the models in the settings that servers of this entry can serve, sorted.
 func (e *Entry) Models() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/keys.go
+++ b/entry/keys.go
@@ -10,12 +10,12 @@
 )
 
 // registerTimeout is how long a request with a key waits for the key's home agent,
-// which answers within a round trip; as long as the votes of a claim.
+// which answers within a round trip: the same time as for the votes of a claim.
 const registerTimeout = claimTimeout
 
-// supersede ends an open request with the same key: its caller has asked
-// again, and one of the two must not be answered. One at another entry is ended
-// through the key's home agent.
+// supersedeOlder ends an open request with the same key: its caller has sent the
+// request again, and only one of the two may be answered. A request at another entry
+// is ended through the key's home agent.
 func (e *Entry) supersedeOlder(f *Flow) {
 	if f.key == "" {
 		return
@@ -26,10 +26,10 @@
 	e.flowsByKey[f.key] = f
 }
 
-// register tells the key's home agent of a request, and reports whether the
-// request starts once that has answered. Which of two attempts is the newer one
-// is decided by their order there: an attempt that ran before its report had come
-// could be taken for newer than a retry that its caller sent later.
+// register registers a request at the home agent of its key, and reports whether the
+// request has to wait for the agent's answer. The order of registrations decides which
+// of two attempts is the newer one. If an attempt ran before it was registered, it
+// could be registered after a retry that its caller sent later, and supersede it.
 func (e *Entry) register(f *Flow) bool {
 	if f.key == "" {
 		return false
@@ -46,15 +46,15 @@
 	return true
 }
 
-// registered starts a request whose home agent has answered, or is not waited
-// for any more. Callers hold the lock.
+// startRegistered starts a request whose home agent has answered or timed out.
+// Callers hold the lock.
 func (e *Entry) startRegistered(now time.Time, id string) {
 	if f := e.flows[id]; f != nil {
 		e.startFlow(now, f)
 	}
 }
 
-// start gives a request to the router, once.
+// startFlow passes a request to the router, once.
 func (e *Entry) startFlow(now time.Time, f *Flow) {
 	if start := f.arrive; start != nil {
 		f.arrive = nil
@@ -62,8 +62,9 @@
 	}
 }
 
-// homeOf returns the agent of this zone that keeps a key, by the highest hash,
-// so that all entries of the zone that see the same agents agree.
+// homeAgent returns the connected agent of this zone at which a key is registered, or "" if
+// there is none. It is the one with the highest hash of name and key, so that all entries
+// of the zone that are connected to the same agents choose the same one.
 func (e *Entry) homeAgent(key string) string {
 	best, maxSum := "", uint64(0)
 	for name, a := range e.agents {
@@ -79,7 +80,7 @@
 	return best
 }
 
-// superseded ends a request whose caller has asked again at another entry.
+// handleSuperseded ends a request that its caller has sent again to another entry.
 func (e *Entry) handleSuperseded(now time.Time, m *wire.Superseded) {
 	if f := e.flows[m.Req]; f != nil {
 		e.abort(now, f, fault.Superseded)
--- a/entry/leaving.go
+++ b/entry/leaving.go
@@ -12,7 +12,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// platformEvery is the time between two looks at the platform's list.
+// vmListInterval is the time between two requests for the platform's list of VMs, and the
+// timeout of each.
 const vmListInterval = time.Second
 
 func (e *Entry) platformLoop() {
@@ -37,8 +38,8 @@
 	return c.List(ctx)
 }
 
-// takeVMs keeps the names that are leaving. A VM that is missing from the list
-// is no sign: the list lags, and a server that is gone has no link.
+// applyVMList marks the servers on leaving VMs as leaving. A VM that is not on the
+// list has no effect: the list lags behind, and a server that has gone has no link.
 func (e *Entry) applyVMList(vms []vmlist.VM) {
 	var names []string
 	for _, vm := range vms {
@@ -51,14 +52,14 @@
 	e.setLeaving(names)
 }
 
-// setLeaving takes a new list of leaving servers and passes it on. Callers
+// setLeaving replaces the list of leaving servers and forwards it downstream. Callers
 // hold the lock.
 func (e *Entry) setLeaving(names []string) {
 	next := map[string]bool{}
 	for _, n := range names {
 		next[n] = true
 		if !e.leaving[n] {
-			event.ServerLeaving.Log(e.log, "server", n, "why", "the platform's list")
+			event.ServerLeaving.Log(e.log, "server", n, "why", "the platform lists its VM as leaving")
 		}
 	}
 	for n := range e.leaving {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// measure counts the outcome of a request.
+// observe updates the metrics by the outcome of a request.
 func (e *Entry) observe(f *Flow, err error) {
 	outcome := "met"
 	var fe *fault.Error
--- a/entry/once.go
+++ b/entry/once.go
@@ -13,34 +13,35 @@
 	"github.com/ledgepin/ledgepin/stream"
 )
 
-// onceClaim is the claim that a model request of a once class holds.
+// onceClaim is the claim of a model request whose class allows only one run for each key.
 type onceClaim struct {
 	ask       claim.VoteRequest
 	members   []string
 	retention time.Duration
-	// settled tells that the outcome has been recorded.
+	// recorded is set once the outcome has been sent to the voters.
 	recorded bool
 }
 
 const (
-	// runLifetime is how long a claim holds for a request that runs. If its
-	// entry dies, the key is free again after that; a request that still runs
-	// then is cut off before.
+	// claimTTL is how long the claim of a running request is valid. If the entry
+	// crashes, the key is free again after that time. A request that is still running
+	// is aborted claimMargin earlier.
 	claimTTL    = 60 * time.Second
 	claimMargin = 5 * time.Second
-	// maxRecorded bounds a recorded answer in bytes.
+	// maxRecordedBytes is the maximum size of a recorded answer.
 	maxRecordedBytes = 64 << 10
 )
 
-// recorded is an answer as the voters keep it.
+// recordedAnswer is an answer as the voters store it.
 type recordedAnswer struct {
 	Text   string `json:"text"`
 	Finish string `json:"finish"`
 	Tokens int    `json:"tokens"`
 }
 
-// claimRequest claims the key of a request of a once class. It returns the
-// claim, or a flow with the recorded answer of an earlier attempt.
+// claimRequest claims the key of a request whose class allows only one run for each key. It
+// returns the claim, or a flow with the recorded answer of an earlier attempt. For other classes
+// it returns neither.
 func (e *Entry) claimRequest(ctx context.Context, in ModelRequest, id string) (*onceClaim, *Flow, error) {
 	e.mu.Lock()
 	tree := e.store.Tree()
@@ -54,7 +55,7 @@
 		return nil, nil, nil
 	}
 	if in.Key == "" {
-		return nil, nil, fault.New(fault.KeyRequired, fault.StepClaim, "", "send an Idempotency-Key with this class of request")
+		return nil, nil, fault.New(fault.KeyRequired, fault.StepClaim, "", "requests of this class require an Idempotency-Key header")
 	}
 	svc := tree.Fleet.Services[class.ClaimGroup]
 	site, members := claimGroup(svc, tree.Fleet.Customers[in.Grant.Customer].Home)
@@ -71,24 +72,25 @@
 		return nil, f, err
 	case claim.HeldByOther:
 		e.releaseClaim(c.ask, members)
-		return nil, nil, fault.New(fault.InProgress, fault.StepClaim, c.ask.Group, "another attempt with this key runs, or its entry has just died")
+		return nil, nil, fault.New(fault.InProgress, fault.StepClaim, c.ask.Group, "another attempt with this key is running, or its entry has crashed recently")
 	}
 	_, err := e.claimError(verdict, p, c.ask, members)
 	return nil, nil, err
 }
 
-// requestHash tells requests with the same key apart.
+// requestHash returns a hash by which different requests with the same key are recognised.
 func requestHash(in ModelRequest) uint64 {
 	h := fnv.New64a()
 	_ = json.NewEncoder(h).Encode(in.Request)
 	return h.Sum64()
 }
 
-// replay returns a flow that gives a recorded answer.
+// recordedFlow returns a flow that delivers a recorded answer. An answer longer than
+// maxRecordedBytes was recorded without its text, so its content is unknown.
 func recordedFlow(id string, a *claim.Answer, in ModelRequest) (*Flow, error) {
 	var r recordedAnswer
 	if err := json.Unmarshal(a.Body, &r); err != nil {
-		return nil, fault.New(fault.OutcomeUnknown, fault.StepClaim, "", "the answer was too long to be kept; it was given once")
+		return nil, fault.New(fault.OutcomeUnknown, fault.StepClaim, "", "the request has run, but its answer was too long to be recorded")
 	}
 	f := &Flow{ID: id, parts: make(chan stream.Chunk, 2), promptTokens: EstimateTokens(in.Request.Text())}
 	f.parts <- stream.Chunk{Text: r.Text}
@@ -97,9 +99,9 @@
 	return f, nil
 }
 
-// settle records the outcome of a request that holds a claim: its answer, or
-// that it has none, which frees the key for a retry. The channel that it returns is
-// closed once the voters know; it is nil without a claim. Callers hold the lock.
+// recordOutcome sends the outcome of a request with a claim to the voters: its answer, or
+// that there is none, which frees the key for a retry. The channel that it returns is
+// closed once a majority has recorded it; it is nil without a claim. Callers hold the lock.
 func (e *Entry) recordOutcome(f *Flow, err error) <-chan struct{} {
 	c := f.claim
 	if c == nil || c.recorded {
@@ -117,13 +119,13 @@
 	return e.sendRecordLocked(r, c.members)
 }
 
-// limitOnce cuts a request off before its claim runs out.
+// abortBeforeExpiry aborts a request that is still running shortly before its claim expires.
 func (e *Entry) abortBeforeExpiry(f *Flow) {
 	time.AfterFunc(claimTTL-claimMargin, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.flows[f.ID] == f {
-			event.RequestFailed.Log(e.log, "request", f.ID, "detail", "the claim of its key is about to run out")
+			event.RequestFailed.Log(e.log, "request", f.ID, "detail", "the claim for its key is about to expire")
 			e.abort(clock.VM.Now(), f, fault.EngineLost)
 		}
 	})
--- a/entry/peer_settings.go
+++ b/entry/peer_settings.go
@@ -10,9 +10,9 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// bootLoop lets an entry start at a site that is cut off: if control stays out
-// of reach, it takes the highest revision that a majority of the site's peers
-// can tell of, and serves on it as degraded.
+// peerSettingsLoop lets an entry start at a site that is partitioned from control:
+// after controlTimeout it takes the highest revision among those of a majority of
+// the site's peers, and serves with it as degraded.
 func (e *Entry) peerSettingsLoop() {
 	wait.For(e.ctx, controlTimeout)
 	for e.ctx.Err() == nil {
@@ -26,7 +26,8 @@
 	}
 }
 
-// askPeers asks all peers at once; it reports whether a majority answered.
+// fetchFromPeers requests the settings of all peers at the same time and puts the highest
+// revision in force. It reports whether a majority answered.
 func (e *Entry) fetchFromPeers() bool {
 	answers := make(chan *wire.Settings, len(e.cfg.Peers))
 	for _, addr := range e.cfg.Peers {
@@ -51,7 +52,7 @@
 	return true
 }
 
-// askPeer returns the settings of one peer, or nil.
+// fetchFromPeer returns the settings of one peer, or nil.
 func (e *Entry) fetchFromPeer(addr string) *wire.Settings {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Second)
 	defer cancel()
@@ -76,7 +77,7 @@
 	return out
 }
 
-// adopt puts the site's settings in force without control's confirmation.
+// activateUnconfirmed puts the settings of a peer in force without confirmation by control.
 func (e *Entry) activateUnconfirmed(m *wire.Settings) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -13,11 +13,11 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// mayAct tells whether the entry may act on the settings that it holds.
+// settingsUsable reports whether the entry may act on the settings in its store.
 // Callers hold the lock.
 func (e *Entry) settingsUsable() bool { return e.store.Confirmed() || e.degraded }
 
-// inForce returns the revision that the entry acts on; zero if none.
+// revisionInForce returns the revision that the entry acts on, or zero if there is none.
 func (e *Entry) revisionInForce() uint64 {
 	if !e.settingsUsable() {
 		return 0
@@ -25,7 +25,7 @@
 	return e.store.Revision()
 }
 
-// loadKept reads the settings that the entry kept on its disk. It does not act
+// loadPersisted reads the settings that the entry stored on its disk. It does not act
 // on them before they are confirmed.
 func (e *Entry) loadPersisted() {
 	rev, text, err := e.cfg.SettingsFile.Read()
@@ -37,8 +37,8 @@
 	}
 }
 
-// takeSettings takes settings from upstream or from a peer. Callers hold the
-// lock.
+// applyUpdate applies an update of the settings from upstream or from a peer. Callers
+// hold the lock.
 func (e *Entry) applyUpdate(now time.Time, l *wire.Link, m *wire.Settings) {
 	wasUsable := e.settingsUsable()
 	switch e.store.Apply(now, m) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// inForceNow puts the held revision in force and passes it on.
+// activateSettings puts the revision in the store in force and forwards it.
 func (e *Entry) activateSettings(now time.Time) {
 	if !e.settingsUsable() {
 		return
@@ -66,8 +66,8 @@
 	e.signalPersist()
 	event.SettingsInForce.Log(e.log, "revision", e.store.Revision())
 	e.applySettings(now)
-	// An agent has links from every entry of its zone. All tell it that there is
-	// a new revision, and it asks one of them.
+	// An agent has links from every entry of its zone. All of them announce the new
+	// revision, and the agent pulls it from one.
 	heartbeat := &wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.revisionInForce()}}
 	for _, a := range e.agents {
 		if a.link != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// keep wakes the loop that writes the settings to the disk.
+// signalPersist wakes the loop that writes the settings to the disk.
 func (e *Entry) signalPersist() {
 	select {
 	case e.persistSignal <- struct{}{}:
@@ -87,8 +87,8 @@
 	}
 }
 
-// keepLoop writes the newest settings to the disk, outside of the lock. The
-// file is a help for the next start, so nothing waits for it.
+// persistLoop writes the newest settings to the disk without holding the lock. The
+// file only speeds up the next start, so nothing waits for it.
 func (e *Entry) persistLoop() {
 	for {
 		select {
@@ -105,22 +105,22 @@
 	}
 }
 
-// push sends the settings in force as a delta to the revision before; a peer
-// that lacks that one asks for the whole text.
+// sendUpdate sends the settings in force as a delta to the previous revision. A peer
+// that does not have that revision pulls the full text.
 func (e *Entry) sendUpdate(l *wire.Link) {
 	if m := e.store.UpdateFor(e.store.Revision() - 1); m != nil && e.settingsUsable() {
 		_ = l.Send(&wire.Message{Settings: m})
 	}
 }
 
-// answerPull sends a peer what it lacks.
+// answerPull sends a peer the update that it requested.
 func (e *Entry) answerPull(l *wire.Link, p *wire.Pull) {
 	if m := e.store.UpdateFor(p.Have); m != nil && e.settingsUsable() {
 		_ = l.Send(&wire.Message{Settings: m})
 	}
 }
 
-// apply brings the entry in line with the settings in force.
+// applySettings updates the limits, servers and links according to the settings in force.
 func (e *Entry) applySettings(now time.Time) {
 	tree := e.store.Tree()
 	e.grants = tree.Grants()
@@ -144,8 +144,8 @@
 	}
 }
 
-// remove takes a server out that the settings do not have any more. Work in
-// progress there ends first; until then the server counts as leaving.
+// removeServer removes a server that is no longer in the settings, once this entry has
+// no work in progress there. Until then the server is marked as leaving.
 func (e *Entry) removeServer(now time.Time, name string, a *agentLink) {
 	if s := e.core.View().Server(name); s != nil && s.OwnSlots() > 0 {
 		e.core.View().SetLeaving(name, true)
@@ -191,7 +191,7 @@
 	e.startAgentLink(p)
 }
 
-// upstreamLoop keeps a link to one control replica or relay.
+// upstreamLoop keeps a link to one control replica or relay open.
 func (e *Entry) upstreamLoop() {
 	delay := minRedialDelay
 	for i := 0; e.ctx.Err() == nil && len(e.cfg.Upstream) > 0; i++ {
@@ -244,7 +244,7 @@
 	}
 }
 
-// serveDown runs the link of an entry that uses this one as its relay.
+// serveDownstream runs the link of an entry that uses this one as its relay.
 func (e *Entry) serveDownstream(l *wire.Link) {
 	e.mu.Lock()
 	e.downstream[l] = true
--- a/entry/shares.go
+++ b/entry/shares.go
@@ -7,11 +7,12 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// askAgain is the least time between two wishes out of turn.
+// minShareInterval is the minimum time between two requests for shares outside of the
+// heartbeats.
 const minShareInterval = 200 * time.Millisecond
 
-// askEarly asks as soon as a customer's requests outgrow the last wish. Callers
-// hold the lock.
+// requestSharesEarly requests shares before the next heartbeat if the open requests of a
+// customer exceed the last request. Callers hold the lock.
 func (e *Entry) requestSharesEarly(now time.Time, customer string) {
 	if e.holder.NeedsMore(customer, e.core.OpenOf(customer)) && now.Sub(e.sharesRequestedAt) >= minShareInterval {
 		e.sharesRequestedAt = now
@@ -19,16 +20,16 @@
 	}
 }
 
-// askShares asks upstream for the units of customers' limits that this entry
-// and the entries below it need. Callers hold the lock.
+// requestShares requests from upstream the units of customers' limits that this entry
+// and those that use it as a relay need. Callers hold the lock.
 func (e *Entry) requestShares(now time.Time) {
 	used := e.core.OpenByCustomer()
 	for _, c := range e.broker.Customers() {
-		used[c] += (e.broker.Wanted(now, c) + 1) / 2 // a wish is twice the use
+		used[c] += (e.broker.Wanted(now, c) + 1) / 2 // an entry requests twice what it uses
 	}
 	asks := e.holder.Asks(used)
 	if len(asks) == 0 || e.upstream == nil {
-		return // what was lent stays until upstream is back
+		return // the current grants remain until upstream is back
 	}
 	_ = e.upstream.Send(&wire.Message{Shares: &wire.Shares{Asks: asks}})
 }
@@ -39,8 +40,8 @@
 	}
 }
 
-// lend passes units on to an entry below, out of those that this relay holds
-// and does not use itself. Callers hold the lock.
+// grantShares grants units to a downstream entry, from those that were granted to this
+// relay and that it does not use itself. Callers hold the lock.
 func (e *Entry) grantShares(now time.Time, l *wire.Link, m *wire.Shares) {
 	used := e.core.OpenByCustomer()
 	out := &wire.Lent{}
@@ -54,7 +55,7 @@
 	}
 }
 
-// shortOf tells whether those below want more than this relay holds.
+// exceedsShares reports whether a downstream entry requests more units than this relay has.
 func (e *Entry) exceedsShares(asks []quota.Ask) bool {
 	for _, a := range asks {
 		if a.Want > e.holder.Units(a.Customer) {
