--- a/agent/agent.go
+++ b/agent/agent.go
@@ -20,48 +20,49 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Config is what an agent needs to know of itself.
+// Config configures an agent.
 type Config struct {
 	// Name is the name of its backend server in the settings.
 	Name string
 	Zone string
-	// Engine and Service are the addresses beside it; one of them is set.
+	// Engine and Service are the addresses of its backend server; one of them is set.
 	Engine, Service string
-	// Token is the bearer token that peers share.
+	// Token is the bearer token that all peers share.
 	Token string
-	// TLS is for the links that it opens; nil for plain TCP.
+	// TLS configures the links that the agent opens; nil for plain TCP.
 	TLS *tls.Config
 	Log *slog.Logger
-	// FoundClaims makes its claim voter vote at once, though it can't know that
-	// its group has no past. It is for dev and for tests only.
+	// AssumeNewClaimGroup makes the claim voter vote without copying the grants of the
+	// other members, although it can't know that its group has none. It is for
+	// development and for tests only.
 	AssumeNewClaimGroup bool
 }
 
-// Times of the agent.
+// Times and limits of an agent.
 const (
 	tickInterval   = 20 * time.Millisecond
 	cancelInterval = 500 * time.Millisecond
-	// orphanGrace is how long entries may claim what the engine was running
+	// orphanTimeout is how long entries may resume the runs that the engine had
 	// when the agent restarted.
 	orphanTimeout = time.Second
 	initialLease  = 5 * time.Second
 	maxRecords    = 2048
 )
 
-// job is a piece of work for an entry.
+// job is the work of one attempt for an entry: a prefill, a decode or a call.
 type job struct {
 	owner    string
 	priority int
 	tokens   int
 	cancel   context.CancelFunc
-	// next is the index of the next token to send, for a decode.
+	// next is the index of the next token that a decode sends.
 	next int
-	// moving tells that a KV transfer to this server is under way.
+	// importing is set while a KV cache is transferred to this server.
 	importing bool
 	result    *wire.Prefilled
 }
 
-// Agent is the process beside one backend server.
+// Agent is the agent process of one backend server.
 type Agent struct {
 	cfg    Config
 	log    *slog.Logger
@@ -94,16 +95,16 @@
 	calls          map[lease.ID]time.Time
 	records        *decision.Ring
 	registry       *keyRegistry
-	// draining is for good; unlisted lasts while the settings do not have the
-	// server. Either makes it leaving.
+	// draining is set permanently by Drain, and unlisted while the server is not in
+	// the settings. The server is leaving if one of them is set.
 	draining, unlisted bool
-	pulledAt           time.Time // when settings were last asked for
+	pulledAt           time.Time // when settings were last pulled
 	disconnectedAt     map[string]time.Time
-	heartbeatAt        time.Time // of the last report, with the slots in use then
-	heartbeatUsed      int
+	heartbeatAt        time.Time // time of the last heartbeat
+	heartbeatUsed      int       // slots in use at the last heartbeat
 }
 
-// Start returns a running agent.
+// Start starts an agent. Close stops it.
 func Start(cfg Config) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
 	opts := lease.Options{TTL: initialLease, CancelInterval: cancelInterval}
@@ -129,7 +130,7 @@
 	return a
 }
 
-// kvSlots bounds the prefill results that wait at one engine.
+// maxKVResults is the maximum number of prefill results that wait at one engine.
 const maxKVResults = 4096
 
 // Handler serves the links of entries and peers.
@@ -143,8 +144,8 @@
 	return wire.Hello{Name: a.cfg.Name, Role: wire.RoleAgent, Zone: a.cfg.Zone, Epoch: a.epoch, Revision: a.store.Revision()}
 }
 
-// Drain makes the agent tell everybody that its server is leaving, and waits
-// until its work has ended or ctx is done.
+// Drain reports to all entries that the server is leaving, and waits until its
+// work has ended or ctx is done.
 func (a *Agent) Drain(ctx context.Context) {
 	a.mu.Lock()
 	a.draining = true
@@ -162,7 +163,7 @@
 	}
 }
 
-// leaving tells whether the server takes no new work. Callers hold the lock.
+// leaving reports whether the server accepts no new work. Callers hold the lock.
 func (a *Agent) leaving() bool { return a.draining || a.unlisted }
 
 func (a *Agent) busy() bool {
@@ -171,8 +172,8 @@
 	return a.work.Used() > 0 || a.kv.Used() > 0 || len(a.jobs) > 0
 }
 
-// Close ends the agent at once. What its engine runs is found again by the
-// next agent.
+// Close stops the agent immediately. The next agent of the server recovers the runs
+// of its engine.
 func (a *Agent) Close() {
 	a.cancel()
 	a.mu.Lock()
@@ -222,14 +223,14 @@
 	}
 }
 
-// note adds a step to the record of a request. Callers hold the lock.
+// addStep adds a step to the record of a request. Callers hold the lock.
 func (a *Agent) addStep(id lease.ID, kind decision.Kind, detail string) {
 	a.records.GetOrCreate(id.Req).Add(decision.Step{
 		At: clock.WallTime(), Kind: kind, Attempt: id.Attempt, Process: a.cfg.Name, Server: a.cfg.Name, Detail: detail,
 	})
 }
 
-// Explain returns the record of a request at this agent.
+// Explain returns this agent's record of a request.
 func (a *Agent) Explain(id string) (decision.Record, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/call.go
+++ b/agent/call.go
@@ -12,16 +12,16 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// callMemory is how long an agent remembers the calls that it has sent, so
-// that a repeated message is no second call.
+// callTTL is how long an agent at least remembers the calls that it has sent, so
+// that a repeated message does not cause a second call.
 const callTTL = time.Minute
 
-// call sends a call to the service, once for each attempt. Callers hold the
+// handleCall sends a call to the service, once for each attempt. Callers hold the
 // lock.
 func (a *Agent) handleCall(now time.Time, l *wire.Link, m *wire.Call) {
 	switch {
 	case a.svc == nil:
-		a.sendAnswer(l, &wire.Answer{ID: m.ID, Detail: "no service beside this agent"})
+		a.sendAnswer(l, &wire.Answer{ID: m.ID, Detail: "the agent has no service"})
 		return
 	case a.leaving():
 		a.sendAnswer(l, &wire.Answer{ID: m.ID, Detail: "leaving"})
@@ -52,7 +52,7 @@
 	a.sendAnswer(l, out)
 }
 
-// forgetCalls drops old calls when there are many.
+// evictCalls removes the expired calls if there are many.
 func (a *Agent) evictCalls(now time.Time) {
 	const maxCalls = 4096
 	if len(a.calls) < maxCalls {
@@ -65,7 +65,7 @@
 	}
 }
 
-// order passes an order of control to the engine if its fence allows. Callers
+// handleOrder sends an order of control to the engine if its fence is valid. Callers
 // hold the lock.
 func (a *Agent) handleOrder(l *wire.Link, m *order.Order) {
 	if m.Floor {
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -13,13 +13,13 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// groupKey names a claim group: a service at a site.
+// claimGroupKey identifies a claim group: a service at a site.
 type claimGroupKey struct{ service, site string }
 
-// joinGroup makes the agent a claim voter if the settings list it. A voter that
-// was running before its group came into being knows that the group has no
-// past, and votes at once; any other one has to copy first. Callers hold the
-// lock.
+// joinClaimGroup makes the agent a claim voter if it is a member of a group in the
+// settings. If the settings that it had before don't have the group, the group is new
+// and has granted no claims, so the voter votes at once. Any other voter first copies
+// the grants of the other members. Callers hold the lock.
 func (a *Agent) joinClaimGroup(now time.Time, before *settings.Tree) {
 	tree := a.store.Tree()
 	key, members, lifetime := findClaimGroup(tree, a.cfg.Name)
@@ -53,13 +53,14 @@
 	return claimGroupKey{}, nil, 0
 }
 
-// copyTimeout bounds the copying of one member's grants.
+// copyTimeout is the timeout for copying the grants of one member.
 const copyTimeout = 30 * time.Second
 
-// copyEvery is the time between two tries to copy grants.
+// copyInterval is the time between two attempts to copy grants.
 const copyInterval = 300 * time.Millisecond
 
-// warmUp copies the grants of the other members until the voter votes.
+// copyGrants copies the grants of the other members until the voter has enough of them to
+// vote.
 func (a *Agent) copyGrants(v *claim.Voter, peers []settings.PlacedServer) {
 	for a.ctx.Err() == nil {
 		for _, p := range peers {
@@ -76,7 +77,7 @@
 	}
 }
 
-// copyFrom asks one member for its grants over a link of its own.
+// copyFrom copies the grants of one member over a separate link.
 func (a *Agent) copyFrom(v *claim.Voter, p settings.PlacedServer) {
 	ctx, cancel := context.WithTimeout(a.ctx, copyTimeout)
 	defer cancel()
@@ -100,7 +101,8 @@
 	})
 }
 
-// askCopy asks a member for its next part; it closes the link if there is none.
+// requestCopy requests the next part of the grants of a member, or closes the link after the
+// last one.
 func (a *Agent) requestCopy(v *claim.Voter, name string, l *wire.Link) {
 	a.mu.Lock()
 	ask := v.NextCopyRequest(name)
@@ -112,7 +114,7 @@
 	_ = l.Send(&wire.Message{Copy: ask})
 }
 
-// grant votes on a claim. Callers hold the lock.
+// handleClaim votes on a claim. Callers hold the lock.
 func (a *Agent) handleClaim(now time.Time, l *wire.Link, m *claim.VoteRequest) {
 	vote := claim.Vote{Key: m.Key, Attempt: m.Attempt, Voter: a.cfg.Name, Cold: true}
 	if a.voter != nil {
--- a/agent/dump.go
+++ b/agent/dump.go
@@ -6,7 +6,7 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// Dump is the state of an agent.
+// Dump is the state of an agent for operators.
 type Dump struct {
 	Name     string        `json:"name"`
 	Revision uint64        `json:"settings_revision"`
@@ -40,7 +40,7 @@
 	return d
 }
 
-// Ready tells whether the agent can serve, and if not, why.
+// Ready reports whether the agent can serve, and if not, why.
 func (a *Agent) Ready() (bool, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,19 +50,19 @@
 	case a.store.Tree() == nil:
 		return false, "no settings yet"
 	case a.engine != nil && !a.engineOK:
-		return false, "the engine does not answer"
+		return false, "the engine does not respond"
 	}
 	return true, ""
 }
 
-// Revision returns the settings revision that the agent holds.
+// Revision returns the revision of the agent's settings, or zero if it has none.
 func (a *Agent) Revision() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.store.Revision()
 }
 
-// Collect brings the gauges of the agent up to date.
+// Collect updates the gauges of the agent.
 func (a *Agent) Collect() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/id_fuzz_test.go
+++ b/agent/id_fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/ledgepin/ledgepin/lease"
 )
 
-// FuzzID feeds the reader of an engine's names of attempts any text, and wants each name
-// that is made to be read as what it was made of.
+// FuzzID parses arbitrary texts as IDs of attempts at an engine, and checks that each ID from
+// engineID parses to the attempt that it was made from.
 func FuzzID(f *testing.F) {
 	for _, seed := range []string{"a.1", "a.b.4294967295", ".", "a.-1", "a.4294967296", ""} {
 		f.Add(seed, uint32(3))
--- a/agent/links.go
+++ b/agent/links.go
@@ -12,14 +12,15 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// beatEvery is the time between two heartbeats on a link.
+// heartbeatInterval is the time between two heartbeats on a link.
 const heartbeatInterval = 2 * time.Second
 
-// rejoinGrace is how long an entry's leases outlive its closed link. A link
-// that falls silent without closing is covered by the lease time.
+// reconnectTimeout is how long an entry's leases are kept after its link has closed. If
+// a link fails without being closed, the leases expire after the lease time.
 const reconnectTimeout = time.Second
 
-// ownerOf names the holder of leases: an entry that restarts is another one.
+// ownerOf returns the name of an owner of leases. It contains the epoch: after a restart,
+// an entry is another owner.
 func ownerOf(h wire.Hello) string { return fmt.Sprintf("%s/%d", h.Name, h.Epoch) }
 
 // serve runs one link until it ends.
@@ -70,14 +71,14 @@
 	}
 }
 
-// beat sends a heartbeat with the load to every entry.
+// sendHeartbeats sends a heartbeat with the load to every entry.
 func (a *Agent) sendHeartbeats() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sendHeartbeatsLocked()
 }
 
-// beatLocked is beat for callers that hold the lock.
+// sendHeartbeatsLocked is sendHeartbeats for callers that hold the lock.
 func (a *Agent) sendHeartbeatsLocked() {
 	for owner, l := range a.links {
 		a.sendHeartbeat(owner, l)
@@ -87,14 +88,14 @@
 }
 
 const (
-	// earlyBeat is the least time between two reports.
+	// minHeartbeatInterval is the minimum time between an early heartbeat and the one before.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// earlyPart is the part of the slots that must have become free since the
-	// last report for one to go out early, as after the loss of an entry.
+	// earlySlotDivisor determines when an early heartbeat is sent: if 1/earlySlotDivisor of
+	// the slots has become free since the last heartbeat, as after the loss of an entry.
 	earlySlotDivisor = 4
 )
 
-// beatEarly reports a large fall of the load at once. Callers hold the lock.
+// sendHeartbeatsEarly sends heartbeats if many slots have become free. Callers hold the lock.
 func (a *Agent) sendHeartbeatsEarly(now time.Time) {
 	freed := a.heartbeatUsed - a.work.Used()
 	if freed > 0 && freed >= a.work.Slots()/earlySlotDivisor && now.Sub(a.heartbeatAt) >= minHeartbeatInterval {
@@ -108,14 +109,15 @@
 	_ = l.Send(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: a.store.Revision(), Load: &load}})
 }
 
-// tellAssets tells an entry what the engine has loaded. Callers hold the lock.
+// sendAssets reports the assets that the engine has loaded to an entry. Callers hold the lock.
 func (a *Agent) sendAssets(l *wire.Link) {
 	_ = l.Send(&wire.Message{Heartbeat: &wire.Heartbeat{
 		Revision: a.store.Revision(), Assets: a.assets, Role: a.role, Told: true,
 	}})
 }
 
-// load returns what one entry is told. Callers hold the lock.
+// loadFor returns the load of the server that is reported to one entry, which knows its own
+// share of it. Callers hold the lock.
 func (a *Agent) loadFor(owner string) placement.Load {
 	out := placement.Load{
 		Others: a.work.Used() - a.work.UsedBy(owner), Slots: a.work.Slots(), Leaving: a.leaving(),
@@ -132,14 +134,14 @@
 			levels = max(levels, j.priority+1)
 		}
 		if j.importing || j.result != nil {
-			out.Transfers++ // a result that waits here is about to move
+			out.Transfers++ // a result that waits here will be transferred soon
 		}
 	}
 	out.Backlog = backlog[:levels:levels]
 	return out
 }
 
-// handle takes one message. The order of a link's messages is kept.
+// handle handles one message. The messages of a link are handled in their order.
 func (a *Agent) handle(owner string, l *wire.Link, m *wire.Message) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,8 +184,8 @@
 	}
 }
 
-// register notes who has a key, and tells the entry of the request that had it
-// before.
+// register registers the request that has a key, and notifies the entry of the request that
+// had the key before.
 func (a *Agent) register(now time.Time, owner string, m *wire.Register) {
 	before, replaced := a.registry.put(now, m.Key, m.Req, owner)
 	if l := a.links[before.owner]; replaced && l != nil {
@@ -191,10 +193,11 @@
 	}
 }
 
-// pullAgain is how long one pull is waited for before another link is asked.
+// pullTimeout is how long a pull may take before another entry is asked.
 const pullTimeout = 500 * time.Millisecond
 
-// pull asks one of the entries that tell of a newer revision.
+// pullSettings requests the settings from an entry that announced a newer revision, unless
+// another pull is still open.
 func (a *Agent) pullSettings(now time.Time, l *wire.Link, revision uint64) {
 	if revision <= a.store.Revision() || now.Sub(a.pulledAt) < pullTimeout {
 		return
@@ -217,14 +220,13 @@
 	}
 }
 
-// applySettings brings the agent in line with new settings; before are those
-// that it had, or nil.
+// applySettings applies new settings; before are those that the agent had, or nil.
 func (a *Agent) applySettings(now time.Time, before *settings.Tree) {
 	p, ok := a.store.Tree().Server(a.cfg.Name)
 	a.unlisted = !ok
 	a.work.SetLeaving(a.leaving())
 	if !ok {
-		event.ServerLeaving.Log(a.log, "why", "not in the settings")
+		event.ServerLeaving.Log(a.log, "why", "the server is not in the settings")
 		a.sendHeartbeatsLocked()
 		return
 	}
@@ -232,6 +234,6 @@
 	a.work.SetTTL(p.LeaseTime)
 	a.kv.SetTTL(p.LeaseTime)
 	a.joinClaimGroup(now, before)
-	// Entries have to know of the slots at once, not with the next heartbeat.
+	// Entries need the number of slots at once, not with the next periodic heartbeat.
 	a.sendHeartbeatsLocked()
 }
--- a/agent/recover.go
+++ b/agent/recover.go
@@ -15,8 +15,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// recoverLoop lists what the engine runs when the agent starts. Until that is
-// known, no slot is given.
+// recoverLoop lists the runs of the engine when the agent starts. No slot is
+// reserved until the list is complete.
 func (a *Agent) recoverLoop() {
 	for a.ctx.Err() == nil {
 		ids, err := a.engine.Running(a.ctx)
@@ -40,14 +40,14 @@
 	a.work.SetRecovering(false)
 }
 
-// resume tells an entry on a new link what became of an attempt. Callers hold
-// the lock.
+// handleResume reports the state of an attempt to an entry that has connected again,
+// and continues the stream of a decode. Callers hold the lock.
 func (a *Agent) handleResume(now time.Time, owner string, l *wire.Link, m *wire.Resume) {
 	if _, ok := a.orphans[m.ID]; ok && m.Decode {
 		delete(a.orphans, m.ID)
 		a.work.Restore(now, m.ID, owner, m.Keep)
 		a.jobs[m.ID] = &job{owner: owner}
-		a.addStep(m.ID, decision.Retried, fmt.Sprintf("claimed by %s after a restart of the agent", l.Peer.Name))
+		a.addStep(m.ID, decision.Retried, fmt.Sprintf("resumed by %s after a restart of the agent", l.Peer.Name))
 		a.resumeDecode(owner, m)
 		return
 	}
@@ -58,7 +58,7 @@
 		if m.Decode {
 			step = fault.StepDecode
 		}
-		a.sendFailed(l, m.ID, step, "the agent does not know the attempt", false)
+		a.sendFailed(l, m.ID, step, "the agent has no such attempt", false)
 	case m.Decode:
 		a.resumeDecode(owner, m)
 	case j.result != nil:
@@ -66,7 +66,8 @@
 	}
 }
 
-// reopen reads the stream of a running decode again from an index on.
+// resumeDecode opens the stream of a running decode again at the token that the entry needs
+// next.
 func (a *Agent) resumeDecode(owner string, m *wire.Resume) {
 	j := a.jobs[m.ID]
 	if j.cancel != nil {
@@ -85,18 +86,19 @@
 	})
 }
 
-// Times of the engine's reports.
+// Times and limits of the reports of an engine.
 const (
 	engineInterval = 250 * time.Millisecond
 	engineTimeout  = time.Second
-	// missesToLose is the number of reports that may fail in a row.
+	// maxFailedReports is the number of reports that must fail in a row for the engine to
+	// count as lost.
 	maxFailedReports = 2
-	// maxHashes bounds the cache hints in one heartbeat, for the budget of
-	// control traffic.
+	// maxCacheHints is the maximum number of cache hints in one heartbeat, which bounds the
+	// traffic of the links.
 	maxCacheHints = 16
 )
 
-// engineLoop reads the engine's load and cache events.
+// engineLoop polls the load and the cache events of the engine.
 func (a *Agent) engineLoop() {
 	t := time.NewTicker(engineInterval)
 	defer t.Stop()
--- a/agent/registry.go
+++ b/agent/registry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// registry keeps, for the callers' keys whose home is this agent, which request
-// has the key now. It lets a retry through another entry end the request that
-// it replaces. It is a help, not a promise: it is lost with the agent.
+// keyRegistry maps the callers' keys whose home is this agent to the newest request
+// with the key, so that a retry through another entry ends the request that it replaces.
+// It is best effort: it is lost when the agent restarts.
 type keyRegistry struct {
 	keys map[string]registration
 }
@@ -21,8 +21,8 @@
 
 func newKeyRegistry() *keyRegistry { return &keyRegistry{keys: map[string]registration{}} }
 
-// put enters a request and returns the one that had the key before, if it is
-// another one.
+// put registers a request. It returns the previous request with the key, and reports whether
+// that was another one.
 func (r *keyRegistry) put(now time.Time, key, req, owner string) (before registration, replaced bool) {
 	before, ok := r.keys[key]
 	r.keys[key] = registration{req, owner, now}
@@ -30,7 +30,7 @@
 	return before, ok && before.req != req
 }
 
-// trim drops old keys when there are many, and all of them if that is not
+// evict removes the expired keys if there are too many, and all keys if that is not
 // enough.
 func (r *keyRegistry) evict(now time.Time) {
 	if len(r.keys) <= maxRegistrations {
--- a/agent/work.go
+++ b/agent/work.go
@@ -21,10 +21,10 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// engineID is the name of an attempt at the engine.
+// engineID returns the ID of an attempt at the engine.
 func engineID(id lease.ID) string { return fmt.Sprintf("%s.%d", id.Req, id.Attempt) }
 
-// parseID reads a name that engineID made.
+// parseID parses an ID that engineID returned.
 func parseID(s string) (lease.ID, bool) {
 	req, num, ok := cutLast(s, ".")
 	n, err := strconv.ParseUint(num, 10, 32)
@@ -39,7 +39,7 @@
 	return s[:i], s[i+len(sep):], true
 }
 
-// reserve answers at once. Callers hold the lock.
+// handleReserve accepts or rejects a reservation at once. Callers hold the lock.
 func (a *Agent) handleReserve(now time.Time, owner string, l *wire.Link, m *wire.Reserve) {
 	reason := lease.NoModel
 	if slices.Contains(a.models, m.Model) {
@@ -58,7 +58,8 @@
 	_ = l.Send(&wire.Message{Reserved: answer})
 }
 
-// begin moves a reservation to work; nil if there is none.
+// startJob starts the work of a reservation. It returns nil and reports a failure to the entry
+// if there is no reservation.
 func (a *Agent) startJob(l *wire.Link, id lease.ID, step fault.Step) (*job, context.Context) {
 	j := a.jobs[id]
 	if j == nil || !a.work.Start(id) {
@@ -74,7 +75,7 @@
 	_ = l.Send(&wire.Message{Failed: &wire.Failed{ID: id, Step: string(step), Detail: detail, Server: serverFault}})
 }
 
-// send gives a message to the present link of an owner, if there is one.
+// sendTo sends a message over the current link of an owner, if there is one.
 func (a *Agent) sendTo(owner string, m *wire.Message) {
 	a.mu.Lock()
 	l := a.links[owner]
@@ -105,20 +106,20 @@
 	a.finishPrefill(owner, id, j, res, start)
 }
 
-// prefilled frees the slot of the work and keeps the result under a lease of
-// its own until the decode engine has it.
+// finishPrefill frees the slot of a prefill and holds its result under a separate lease
+// until the decode engine has imported it.
 func (a *Agent) finishPrefill(owner string, id lease.ID, j *job, res engine.Prefilled, start time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.VM.Now()
 	if state, ok := a.work.State(id); !ok || state != lease.Running {
-		return // cancelled meanwhile; the cancel frees the result too
+		return // it was cancelled, which also frees the result
 	}
 	a.work.Finish(id)
 	a.kv.Restore(now, id, owner, false)
 	a.kv.SetDeadline(id, now.Add(res.KV.TTL))
 	if a.lastPrefillEnd.After(start) {
-		start = a.lastPrefillEnd // it waited for the one before
+		start = a.lastPrefillEnd // it was queued behind the previous prefill
 	}
 	a.lastPrefillEnd = now
 	j.tokens = 0
@@ -156,11 +157,12 @@
 	a.forwardStream(ctx, owner, m.ID, j, s)
 }
 
-// resumes bounds how often a broken stream is opened again at the engine.
+// maxStreamResumes is the maximum number of times that a broken stream is opened again at the
+// engine.
 const maxStreamResumes = 2
 
-// pump passes the chunks of a stream on, and opens the stream again if it
-// breaks while the engine still has the request.
+// forwardStream forwards the chunks of a stream to the entry, and opens the stream again
+// if it breaks while the engine still has the request.
 func (a *Agent) forwardStream(ctx context.Context, owner string, id lease.ID, j *job, s engine.Stream) {
 	for try := 0; ; try++ {
 		err := a.copyStream(owner, id, j, s)
@@ -201,7 +203,7 @@
 	a.endJob(id)
 }
 
-// endJob forgets a job. Callers hold the lock.
+// endJob cancels and removes a job. Callers hold the lock.
 func (a *Agent) endJob(id lease.ID) {
 	if j := a.jobs[id]; j != nil {
 		if j.cancel != nil {
@@ -211,8 +213,8 @@
 	}
 }
 
-// lost ends work that the engine failed. The slot stays in use until the
-// engine has confirmed that nothing is left.
+// failJob ends work that failed at the engine. The slot stays in use until the engine
+// has confirmed the cancellation.
 func (a *Agent) failJob(owner string, id lease.ID, step fault.Step, err error) {
 	a.mu.Lock()
 	state, ok := a.work.State(id)
@@ -229,7 +231,7 @@
 	}
 }
 
-// cancelWork gives up all that an attempt holds here. Callers hold the lock.
+// cancelWork cancels the work and the stored result of an attempt. Callers hold the lock.
 func (a *Agent) cancelWork(now time.Time, id lease.ID) {
 	a.perform(a.work, a.work.Cancel(now, id))
 	a.perform(a.kv, a.kv.Cancel(now, id))
@@ -240,7 +242,7 @@
 	}
 }
 
-// effects carries out the cancels that a table asks for. Callers hold the lock.
+// perform carries out the cancellations that a lease table requests. Callers hold the lock.
 func (a *Agent) perform(t *lease.Table, list []lease.EngineCancel) {
 	for _, e := range list {
 		metric.Cancels.WithLabelValues(a.cfg.Name, "sent").Inc()
@@ -266,7 +268,7 @@
 	ctx, cancel := context.WithTimeout(a.ctx, cancelTimeout)
 	defer cancel()
 	if err := a.engine.Cancel(ctx, engineID(id)); err != nil {
-		return // the table repeats it
+		return // the lease table requests it again
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
