--- /dev/null
+++ b/gateway/event_ids_test.go
@@ -0,0 +1,46 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// eventsWithIDs is a stream whose events have given IDs.
+func eventsWithIDs(ids ...string) string {
+	var b strings.Builder
+	for n, id := range ids {
+		fmt.Fprintf(&b, "id: %s\ndata: event %d\n\n", id, n)
+	}
+	return b.String()
+}
+
+// TestEventIDsWithGapsAreRelayed wants the answer of one engine, which breaks nowhere, passed on whole if
+// its IDs rise by more than one, where engines don't promise that they rise by one.
+func TestEventIDsWithGapsAreRelayed(t *testing.T) {
+	for _, text := range []string{eventsWithIDs("10", "20", "30"), eventsWithIDs("1", "2", "4"), eventsWithIDs("1733200000123", "1733200000187")} {
+		s := newScriptedEngines(t, func(_ int, w http.ResponseWriter, r *http.Request) {
+			writeStreamHead(w, r)
+			writeAndFlush(w, text)
+		})
+		s.gateway.cfg.Protocol.EventsByOne = false
+		got := s.send("POST", "/review/1", "q1", "x", workHeaders)
+		assert.Check(t, got.status == 200 && !got.truncated && got.body == text, "cut %v, %q of %q", got.truncated, got.body, text)
+	}
+}
+
+// TestEqualEventIDsLoseNoEvents wants the answer of one engine, which breaks nowhere, passed on whole or
+// visibly cut, not as a whole one with most of it left out, if its events share an ID.
+func TestEqualEventIDsLoseNoEvents(t *testing.T) {
+	text := eventsWithIDs("7", "7", "7", "7")
+	s := newScriptedEngines(t, func(_ int, w http.ResponseWriter, r *http.Request) {
+		writeStreamHead(w, r)
+		writeAndFlush(w, text)
+	})
+	s.gateway.cfg.Protocol.EventsByOne = false
+	got := s.send("POST", "/review/1", "q1", "x", workHeaders)
+	assert.Check(t, got.truncated || got.body == text, "looks whole: %q", got.body)
+}
--- /dev/null
+++ b/gateway/migrations_test.go
@@ -0,0 +1,365 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/ledgepin/ledgepin/dispatch"
+	"github.com/ledgepin/ledgepin/event"
+	"github.com/ledgepin/ledgepin/registry"
+	"github.com/ledgepin/ledgepin/standin"
+)
+
+var (
+	scenarioRuns = flag.Int("moves.runs", 2, "how many runs are drawn for each case of moves")
+	scenarioSeed = flag.Uint64("moves.seed", 1, "the seed of the first of them")
+)
+
+// lockedRand are drawn by many goroutines.
+type lockedRand struct {
+	mu sync.Mutex
+	r  *rand.Rand
+}
+
+func newLockedRand(seed uint64, name string) *lockedRand {
+	salt := uint64(14695981039346656037)
+	for _, c := range []byte(name) {
+		salt = (salt ^ uint64(c)) * 1099511628211
+	}
+	return &lockedRand{r: rand.New(rand.NewPCG(seed, salt))}
+}
+
+func (lr *lockedRand) intN(n int) int {
+	lr.mu.Lock()
+	defer lr.mu.Unlock()
+	return lr.r.IntN(n)
+}
+
+// oneIn is true once in n draws.
+func (lr *lockedRand) oneIn(n int) bool { return lr.intN(n) == 0 }
+
+// scenario is requests whose runs move again and again, at engines that behave as drawn.
+type scenario struct {
+	*harness
+	*lockedRand
+	log *testLog
+	// target is the path of the requests, event the text of an event of the one with a body.
+	target    string
+	event     func(body string, n int) string
+	lastEvent int
+	// maxTries is how often the caller comes with what it has, if it may.
+	maxTries int
+	// disconnects tells that the caller leaves now and then, and comes back.
+	disconnects bool
+}
+
+// migrationCase is a manner of engines under which runs move.
+type migrationCase struct {
+	name string
+	// adjustManner changes what is drawn for an engine, fault draws what goes wrong with a
+	// request at a decode engine; either may be nil.
+	adjustManner func(lr *lockedRand, m *standin.Manner)
+	drawFault    func(lr *lockedRand) standin.Fault
+	event        func(body string, n int) string
+	disconnects  bool
+	// callers is how many requests there are at once; one if it is zero.
+	callers int
+}
+
+// eventFormat returns events by a format for the number and the body of the request.
+func eventFormat(format string) func(body string, n int) string {
+	return func(body string, n int) string { return fmt.Sprintf(format+"%.0[2]s", n, body) }
+}
+
+// scenarioEventCount is the length of a run that moves.
+const scenarioEventCount = 300
+
+// newScenario starts a gateway before one prefill engine and three decode engines.
+func newScenario(t *testing.T, c *migrationCase, seed uint64) *scenario {
+	h, log := newLoggedHarness(t)
+	sc := &scenario{harness: h, lockedRand: newLockedRand(seed, c.name), log: log, event: c.event, lastEvent: scenarioEventCount, maxTries: 4, disconnects: c.disconnects, target: "/desk/1"}
+	if sc.event == nil {
+		sc.event = eventFormat("id: %[1]d\ndata: event %[1]d of %[2]s\n\n")
+	}
+	if sc.oneIn(3) {
+		sc.target, sc.maxTries = "/review/1", 1
+	}
+	sc.add("llm", "p1", "prefill")
+	pace := time.Duration(300+sc.intN(1500)) * time.Microsecond
+	for _, id := range []string{"d1", "d2", "d3"} {
+		b := sc.add("llm", id, "decode")
+		b.SetPace(0, pace, sc.lastEvent)
+		b.SetManner(sc.drawManner(c))
+		if c.drawFault != nil {
+			b.SetFault(func(r *http.Request) standin.Fault {
+				if isPrefill(r) {
+					return standin.NoFault
+				}
+				return c.drawFault(sc.lockedRand)
+			})
+		}
+	}
+	return sc
+}
+
+// drawManner draws how an engine behaves: correct, and as awkward as it may be.
+func (sc *scenario) drawManner(c *migrationCase) standin.Manner {
+	m := standin.Manner{Event: sc.event, Reset: sc.oneIn(2), CopyTime: time.Duration(sc.intN(4)) * time.Millisecond}
+	switch sc.intN(3) {
+	case 0:
+		m.Cut = func(due int) int { return sc.intN(due + 1) } // also none: it comes later, joined
+	case 1:
+		m.Cut = func(int) int { return 1 + sc.intN(3) }
+	}
+	if c.adjustManner != nil {
+		c.adjustManner(sc.lockedRand, &m)
+	}
+	return m
+}
+
+// fillEngines fills the engines at which the gateway has booked the run, now and then, until the
+// context ends.
+func (sc *scenario) fillEngines(ctx context.Context) {
+	for ctx.Err() == nil {
+		loads := map[string]dispatch.Load{}
+		for _, s := range sc.gateway.fleet.list() {
+			if s.Own.Runs > 0 && s.Role == registry.Decode && !sc.oneIn(3) {
+				loads[s.ID] = dispatch.Load{Tokens: 99000, Held: 98000, Runs: 1}
+			}
+		}
+		sc.gateway.fleet.setOthers(dispatch.OtherGateways{Gateways: 2, Known: 2, Loads: loads})
+		select {
+		case <-ctx.Done():
+		case <-time.After(time.Duration(1+sc.intN(8)) * time.Millisecond):
+		}
+	}
+}
+
+// runCaller is the caller: it comes back with the last event that it has while its answers
+// break off. It returns what was wrong with what it got.
+func (sc *scenario) runCaller(ctx context.Context, body string) error {
+	next := 1
+	for try := 1; try <= sc.maxTries; try++ {
+		fields := map[string]string{protocol.Headers.Tokens: "1000,500", protocol.Headers.LengthHint: "400"}
+		if next > 1 {
+			fields[protocol.Headers.LastEventID] = strconv.Itoa(next - 1)
+		}
+		got := sc.sendOnce(ctx, fmt.Sprint(body, "-", try), body, fields)
+		if got.status != http.StatusOK {
+			continue
+		}
+		var err error
+		next, err = sc.checkEvents(body, next, got)
+		if err != nil {
+			return fmt.Errorf("%s, try %d: %w", body, try, err)
+		}
+		if !got.truncated {
+			return nil
+		}
+	}
+	return nil
+}
+
+// runCallers has callers come at once.
+func (sc *scenario) runCallers(ctx context.Context, callers int) error {
+	errs := make([]error, callers)
+	var wg sync.WaitGroup
+	for i := range callers {
+		wg.Go(func() { errs[i] = sc.runCaller(ctx, fmt.Sprint("q", i+1)) })
+	}
+	wg.Wait()
+	return errors.Join(errs...)
+}
+
+// sendOnce sends the request once, and leaves early if the caller is hasty.
+func (sc *scenario) sendOnce(ctx context.Context, id, body string, fields map[string]string) reply {
+	if sc.disconnects {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(20+sc.intN(400))*time.Millisecond)
+		defer cancel()
+	}
+	return sc.sendWith(ctx, "POST", sc.target, id, body, fields)
+}
+
+// checkEngines checks what the engines saw.
+func (sc *scenario) checkEngines() error {
+	begun := map[string]int{}
+	for _, b := range sc.servers {
+		for _, a := range b.Arrivals() {
+			if a.Mixed {
+				return fmt.Errorf("%s went on from another request's memory", a.ID)
+			}
+			if a.Ran && !a.Continues && b.Role == registry.Decode {
+				begun[a.Body]++
+			}
+		}
+	}
+	for body, n := range begun {
+		if sc.maxTries == 1 && n > 1 {
+			return fmt.Errorf("%s may not be repeated and was begun %d times", body, n)
+		}
+	}
+	return nil
+}
+
+// trace tells what the gateway and the engines did.
+func (sc *scenario) trace() string {
+	var b strings.Builder
+	for _, id := range []string{"p1", "d1", "d2", "d3"} {
+		for _, a := range sc.servers[id].Arrivals() {
+			h := a.Header
+			fmt.Fprintf(&b, "%s %s %s last=%q source=%q ran=%v continues=%v\n", a.At.Format("05.0000"), id, a.ID,
+				h.Get(protocol.Headers.LastEventID), h.Get(protocol.Headers.KVSource), a.Ran, a.Continues)
+		}
+	}
+	sc.log.mu.Lock()
+	defer sc.log.mu.Unlock()
+	return b.String() + sc.log.text.String()
+}
+
+// migrations counts the migrations that came about.
+func (sc *scenario) migrations() int { return strings.Count(sc.log.allText(), "outcome=moved") }
+
+// completed counts the streams that ended whole for the gateway.
+func (sc *scenario) completed() int { return len(sc.log.linesOf(event.RequestDone)) }
+
+// allText returns the whole log.
+func (l *testLog) allText() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+// runScenarios plays a case many times, and wants each caller's events whole, once and in
+// order.
+func runScenarios(t *testing.T, c *migrationCase) {
+	t.Helper()
+	var mu sync.Mutex
+	runs, migrated, completed := 0, 0, 0
+	t.Run(c.name, func(t *testing.T) {
+		t.Cleanup(func() { t.Logf("%s: %d plays, %d moves, %d whole answers", c.name, runs, migrated, completed) })
+		for i := range *scenarioRuns {
+			seed := *scenarioSeed + uint64(i)
+			t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
+				t.Parallel()
+				sc := newScenario(t, c, seed)
+				ctx, cancel := context.WithCancel(t.Context())
+				stopped := make(chan struct{})
+				go func() { defer close(stopped); sc.fillEngines(ctx) }()
+				err := sc.runCallers(t.Context(), max(c.callers, 1))
+				cancel()
+				<-stopped
+				err = errors.Join(err, sc.checkEngines())
+				mu.Lock()
+				runs, migrated, completed = runs+1, migrated+sc.migrations(), completed+sc.completed()
+				mu.Unlock()
+				if err != nil {
+					t.Fatalf("-moves.seed=%d -moves.runs=1: %s, target %s: %v\n%s", seed, c.name, sc.target, err, sc.trace())
+				}
+			})
+		}
+	})
+}
+
+// faultOneIn goes wrong once in some times.
+func faultOneIn(f standin.Fault, times int) func(lr *lockedRand) standin.Fault {
+	return func(lr *lockedRand) standin.Fault {
+		if lr.oneIn(times) {
+			return f
+		}
+		return standin.NoFault
+	}
+}
+
+// randomFault draws one of those that a move meets.
+func randomFault(lr *lockedRand) standin.Fault {
+	switch lr.intN(12) {
+	case 0:
+		return standin.Refuse
+	case 1:
+		return standin.RefuseTaken
+	case 2:
+		return standin.LoseAnswer
+	case 3:
+		return standin.CutStream
+	}
+	return standin.NoFault
+}
+
+// copyFateOneIn has a call for a copy go wrong as named once in some times.
+func copyFateOneIn(f standin.CopyFate, times int) func(lr *lockedRand, m *standin.Manner) {
+	return func(lr *lockedRand, m *standin.Manner) {
+		m.Copies = func(string, bool) standin.CopyFate {
+			if lr.oneIn(times) {
+				return f
+			}
+			return standin.CopyAnswered
+		}
+	}
+}
+
+// lingeringRuns has runs go on when their connection has closed.
+func lingeringRuns(lr *lockedRand, m *standin.Manner) {
+	m.Linger = time.Duration(50+lr.intN(1450)) * time.Millisecond
+	m.OldestFirst = lr.oneIn(2)
+}
+
+// randomManner draws all of what correct engines may do.
+func randomManner(lr *lockedRand, m *standin.Manner) {
+	if lr.oneIn(2) {
+		lingeringRuns(lr, m)
+	}
+	m.Copies = func(string, bool) standin.CopyFate {
+		switch lr.intN(20) {
+		case 0:
+			return standin.CopyLost
+		case 1:
+			return standin.CopyAnswerLate
+		case 2:
+			return standin.CopyDoneLate
+		case 3:
+			return standin.CopyThenCrash
+		}
+		return standin.CopyAnswered
+	}
+	m.Unframed = m.Reset && lr.oneIn(3) // one that closes tells no end from a break
+}
+
+// TestMigrationsKeepEventOrder wants a caller to get each event once and in order, and no answer
+// that looks whole and is not, however its run moves between engines that keep the
+// contract.
+func TestMigrationsKeepEventOrder(t *testing.T) {
+	for _, c := range []migrationCase{
+		{name: "nothing goes wrong"},
+		{name: "stopped by a reset", adjustManner: func(_ *lockedRand, m *standin.Manner) { m.Reset = true }},
+		{name: "stopped by a close", adjustManner: func(_ *lockedRand, m *standin.Manner) { m.Reset = false }},
+		{name: "unframed, stopped by a reset", adjustManner: func(_ *lockedRand, m *standin.Manner) { m.Unframed, m.Reset = true, true }},
+		{name: "the engine ends after a copy", adjustManner: copyFateOneIn(standin.CopyThenCrash, 3)},
+		{name: "answers to copies are lost", adjustManner: copyFateOneIn(standin.CopyLost, 3)},
+		{name: "answers to copies are late", adjustManner: copyFateOneIn(standin.CopyAnswerLate, 3)},
+		{name: "copies are done late", adjustManner: copyFateOneIn(standin.CopyDoneLate, 3)},
+		{name: "the target refuses", drawFault: faultOneIn(standin.Refuse, 2)},
+		{name: "the target refuses once it has taken the copy", drawFault: faultOneIn(standin.RefuseTaken, 3)},
+		{name: "the target begins and answers nothing", drawFault: faultOneIn(standin.LoseAnswer, 3)},
+		{name: "streams break off within an event", drawFault: faultOneIn(standin.CutStream, 2)},
+		{name: "two runs of a request at an engine", adjustManner: lingeringRuns, drawFault: faultOneIn(standin.CutStream, 2)},
+		{name: "two runs, and answers lost", adjustManner: lingeringRuns, drawFault: randomFault},
+		{name: "the caller leaves and comes back", adjustManner: lingeringRuns, disconnects: true},
+		{name: "several callers", callers: 3, drawFault: randomFault, adjustManner: randomManner},
+		{name: "a version first", event: eventFormat("ledgepin-weight-versions: 3\nid: %[1]d\ndata: %[1]d\n\n"), drawFault: faultOneIn(standin.CutStream, 2)},
+		{name: "the ID after the text", event: eventFormat("data: %[1]d\nid:%[1]d\n\n"), drawFault: faultOneIn(standin.CutStream, 2)},
+		{name: "all of it", adjustManner: randomManner, drawFault: randomFault},
+		{name: "all of it, and the caller leaves and comes back", adjustManner: randomManner, drawFault: randomFault, disconnects: true},
+	} {
+		runScenarios(t, &c)
+	}
+}
--- /dev/null
+++ b/gateway/prompt_cache_test.go
@@ -0,0 +1,191 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ledgepin/ledgepin/backend"
+	"github.com/ledgepin/ledgepin/route"
+	"github.com/ledgepin/ledgepin/standin"
+)
+
+// workHeadersWithParts is a prompt of 1,000 tokens in two parts.
+var workHeadersWithParts = map[string]string{
+	protocol.Headers.Tokens: "1000,500", protocol.Headers.LengthHint: "5", protocol.Headers.PromptParts: "shared:200,own:800",
+}
+
+// withHeader returns a copy of header fields with one more.
+func withHeader(fields map[string]string, name, value string) map[string]string {
+	out := map[string]string{name: value}
+	for k, v := range fields {
+		out[k] = v
+	}
+	return out
+}
+
+// newCacheHarness starts a rig with two engines of each role.
+func newCacheHarness(t *testing.T) *harness {
+	h := newHarness(t)
+	h.gateway.cacheListTimeout = 10 * time.Second // no list is late because the machine is busy
+	for _, id := range []string{"p1", "p2"} {
+		h.add("llm", id, "prefill")
+	}
+	for _, id := range []string{"d1", "d2"} {
+		h.add("llm", id, "decode")
+	}
+	return h
+}
+
+// promptReads returns how many prompts prefill engines were given, and the tokens that all
+// engines have read.
+func (h *harness) promptReads() (prompts, tokens int) {
+	for _, b := range h.servers {
+		tokens += b.Read()
+		for _, a := range b.Arrivals() {
+			if a.Header.Get(protocol.Headers.Role) != "" {
+				prompts++
+			}
+		}
+	}
+	return prompts, tokens
+}
+
+// assertOneRead wants one prompt to have been read, once.
+func (h *harness) assertOneRead() {
+	h.t.Helper()
+	prompts, tokens := h.promptReads()
+	assert.Equal(h.t, prompts, 1)
+	assert.Equal(h.t, tokens, 1000)
+}
+
+// streamAfter is a stream from the event after one on.
+func streamAfter(after int) string {
+	return completeStream()[strings.Index(completeStream(), fmt.Sprintf("id: %d\n", after+1)):]
+}
+
+// TestResumedRequestUsesCachedPrompt has callers come back whose gateway was lost: a
+// gateway that has never seen them finds the engines that keep their prompts.
+func TestResumedRequestUsesCachedPrompt(t *testing.T) {
+	h := newCacheHarness(t)
+	got := h.send("POST", "/desk/1", "q1", "x", workHeadersWithParts)
+	assert.Equal(t, got.body, completeStream())
+	h.assertOneRead()
+	for i := range 4 {
+		got = h.send("POST", "/desk/1", fmt.Sprint("again", i), "x", withHeader(workHeadersWithParts, protocol.Headers.LastEventID, "2"))
+		assert.Equal(t, got.body, streamAfter(2))
+	}
+	h.assertOneRead()
+}
+
+// TestPromptIsReadAgainIfNotCached has the engines give up what they kept, or not tell it: a
+// caller who comes back is served all the same.
+func TestPromptIsReadAgainIfNotCached(t *testing.T) {
+	tests := []struct {
+		name    string
+		uncache func(h *harness)
+	}{
+		{"forgotten", func(h *harness) {
+			for _, b := range h.servers {
+				b.Forget()
+			}
+		}},
+		{"no engine can tell", func(h *harness) { h.gateway.cfg.Protocol.ListKept = nil }},
+		{"lists that can't be read", func(h *harness) {
+			h.gateway.cfg.Protocol.ParseKept = func([]byte) ([]route.PromptPart, error) { return nil, io.ErrUnexpectedEOF }
+		}},
+		{"engines that do not answer", func(h *harness) {
+			const silent = "/review/silent"
+			h.gateway.cacheListTimeout = cacheListTimeout
+			h.gateway.cfg.Protocol.ListKept = func() backend.Call { return backend.Call{Method: http.MethodGet, Path: silent} }
+			for _, b := range h.servers {
+				b.SetFault(func(r *http.Request) standin.Fault {
+					if r.URL.Path == silent {
+						return standin.Hang
+					}
+					return standin.NoFault
+				})
+			}
+		}},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			h := newCacheHarness(t)
+			assert.Equal(t, h.send("POST", "/desk/1", "q1", "x", workHeadersWithParts).body, completeStream())
+			tt.uncache(h)
+			got := h.send("POST", "/desk/1", "again", "x", withHeader(workHeadersWithParts, protocol.Headers.LastEventID, "2"))
+			assert.Equal(t, got.body, streamAfter(2))
+		})
+	}
+}
+
+// TestInterruptedStreamReadsPromptOnce cuts a stream that may be resumed: it goes on, and
+// its prompt is not read a second time, though the engine that read it looks slow.
+func TestInterruptedStreamReadsPromptOnce(t *testing.T) {
+	h := newCacheHarness(t)
+	cut := faultOnce(standin.CutStream, isDecode)
+	for _, id := range []string{"d1", "d2"} {
+		h.servers[id].SetFault(func(req *http.Request) standin.Fault {
+			for _, p := range []string{"p1", "p2"} {
+				if h.servers[p].Read() > 0 {
+					h.gateway.fleet.notePrefill(p, 10*time.Second, 1000)
+				}
+			}
+			return cut(req)
+		})
+	}
+	got := h.send("POST", "/desk/1", "q1", "x", workHeadersWithParts)
+	assert.Equal(t, got.body, completeStream())
+	_, tokens := h.promptReads()
+	assert.Equal(t, tokens, 1000)
+}
+
+// TestCacheListOutlivesItsCaller wants what engines keep to be known to the requests
+// that come together, though the caller of the one that asked leaves meanwhile.
+func TestCacheListOutlivesItsCaller(t *testing.T) {
+	h := newCacheHarness(t)
+	assert.Equal(t, h.send("POST", "/desk/1", "q1", "x", workHeadersWithParts).body, completeStream())
+	requested, proceed := make(chan struct{}), make(chan struct{})
+	list := h.gateway.cfg.Protocol.ListKept
+	var once sync.Once
+	h.gateway.cfg.Protocol.ListKept = func() backend.Call {
+		once.Do(func() {
+			close(requested)
+			<-proceed
+		})
+		return list()
+	}
+	resumed := withHeader(workHeadersWithParts, protocol.Headers.LastEventID, "2")
+	ctx, cancel := context.WithCancel(t.Context())
+	disconnected := make(chan reply, 1)
+	go func() { disconnected <- h.sendWith(ctx, "POST", "/desk/1", "leaves", "x", resumed) }()
+	<-requested
+	cancel()
+	<-disconnected
+	close(proceed)
+	assert.Equal(t, h.send("POST", "/desk/1", "stays", "x", resumed).body, streamAfter(2))
+	h.assertOneRead()
+}
+
+// TestFailedCacheListReturnsCause wants the error of a list that did not come to say why.
+func TestFailedCacheListReturnsCause(t *testing.T) {
+	h := newCacheHarness(t)
+	q := &request{id: "q1", service: h.gateway.table.Load().Service("llm")}
+	engines := h.gateway.fleet.eligibleNearby("llm")
+	for _, b := range h.servers {
+		b.Kill()
+	}
+	for _, s := range engines {
+		_, err := h.gateway.listCachedAt(t.Context(), q, &s)
+		var cause *backend.Error
+		assert.Assert(t, errors.As(err, &cause), "%v", err)
+	}
+}
