--- a/gateway/headers_fuzz_test.go
+++ b/gateway/headers_fuzz_test.go
@@ -12,11 +12,11 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// maxTokenSum is more tokens than any request has that is meant.
+// maxTokenSum is more than any number of tokens that a real request states.
 const maxTokenSum = 1 << 31
 
-// assertBounded wants what is read of a caller's fields to lie within bounds, whose sums can't
-// overflow.
+// assertBounded checks that the values read from a caller's header fields are within bounds whose
+// sums can't overflow.
 func assertBounded(t *testing.T, tokens, hint, deadline string) {
 	t.Helper()
 	const timeout = 20 * time.Second
@@ -32,9 +32,9 @@
 	assert.Assert(t, prompt >= 0 && maxOutput >= 0 && prompt+maxOutput < 2*maxTokenSum, "tokens %q: %d, %d", tokens, prompt, maxOutput)
 }
 
-// TestOutOfRangeHeadersAreBounded wants numbers that no request means to be bounded: as they were
-// read, a hint booked less than nothing at an engine, the tokens of a request counted below
-// zero against its limit, and a long deadline had passed at once.
+// TestOutOfRangeHeadersAreBounded checks that numbers beyond those of any real request are bounded.
+// Without bounds, such a length hint reserves a negative amount at an engine, the tokens of a
+// request count as negative against its limit, and a long deadline expires at once.
 func TestOutOfRangeHeadersAreBounded(t *testing.T) {
 	for _, number := range []string{"NaN", "Inf", "1e300", "1e19", "9223372036854775807", "99999999999999999999"} {
 		t.Run(number, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// FuzzCallerHeaders feeds what a gateway reads of a caller's fields any texts.
+// FuzzCallerHeaders parses arbitrary texts as the header fields of a caller.
 func FuzzCallerHeaders(f *testing.F) {
 	for _, seed := range [][3]string{{"1460,300", "120", "5000"}, {"NaN", "Inf", "1e300"}, {"-1,2,3", "-0", "0x1p-2"}, {" 7 , 8 ", "1_0", ""}} {
 		f.Add(seed[0], seed[1], seed[2], "close, x-a")
--- a/gateway/region_test.go
+++ b/gateway/region_test.go
@@ -13,7 +13,7 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// bindRegions binds the routes of the rig's table to regions, in a new version.
+// bindRegions binds the routes of the table to regions, in a new version.
 func (h *harness) bindRegions(regions ...string) {
 	t := *h.gateway.table.Load()
 	t.Version++
@@ -25,8 +25,8 @@
 	h.gateway.setTable(&t)
 }
 
-// TestRoutesAreBoundToRegions binds routes to the other region than the gateway's: plain requests and
-// streams are served there alone, and a request that no region may serve is refused at once.
+// TestRoutesAreBoundToRegions binds routes to a region other than the gateway's: plain requests and
+// streams are served only there, and a request that no region may serve is refused at once.
 func TestRoutesAreBoundToRegions(t *testing.T) {
 	h := newHarness(t)
 	h.gateway.fleet.view.SetRegions(map[string]string{"z": "north", "y": "south"})
@@ -48,8 +48,8 @@
 	assert.Equal(t, h.send(http.MethodGet, "/rates/1", "nowhere", "", nil).status, http.StatusServiceUnavailable)
 }
 
-// TestRegionsChangeDuringRequest takes a region away while a server of it fails a request:
-// the next try goes to none of that region.
+// TestRegionsChangeDuringRequest removes a region from a route while a server of that region fails
+// a request: the next attempt goes to no server of the region.
 func TestRegionsChangeDuringRequest(t *testing.T) {
 	h := newHarness(t)
 	h.gateway.fleet.view.SetRegions(map[string]string{"z": "north", "y": "south"})
@@ -66,8 +66,8 @@
 	assert.Equal(t, len(other.Arrivals()), 1)
 }
 
-// TestRequestWithoutCommonRegionIsForbidden wants a request to be refused for good where its route and its
-// organisation allow no region in common.
+// TestRequestWithoutCommonRegionIsForbidden checks that a request is refused for good if its route
+// and its organisation have no allowed region in common.
 func TestRequestWithoutCommonRegionIsForbidden(t *testing.T) {
 	h := newHarness(t)
 	h.addInZone("z", "plain", "a", "")
@@ -86,12 +86,11 @@
 	assert.Equal(t, got.status, http.StatusForbidden)
 }
 
-// A stream was bound to one region when it came and its route to another one since. With nothing in
-// common its own regions were emptied, which stands for all, so its next move went by the newest
-// table alone, to where the table of its arrival did not allow it.
-
-// TestDisjointRegionsAreNotWidened wants a request that may go nowhere further to stay so, however
-// often it asks, and its regions to stay what they were.
+// TestDisjointRegionsAreNotWidened checks that a request whose regions and those of the newest
+// table are disjoint may go nowhere, however often that is checked, and that its regions stay as
+// they were. An empty list of regions stands for all: if the regions of a stream were emptied
+// because its route has been bound to another region since it arrived, its next migration would be
+// decided by the newest table alone, and could go where the table of its arrival does not allow it.
 func TestDisjointRegionsAreNotWidened(t *testing.T) {
 	h := newHarness(t)
 	q := &request{path: "/desk/1", work: dispatch.Work{Regions: []string{"north"}}}
