--- a/control/cold.go
+++ b/control/cold.go
@@ -87,7 +87,7 @@
 func (h *hub) gatewaysOf(server string) []string {
 	var out []string
 	for l, g := range h.gateways {
-		if _, works := g.servers[server]; works && g.reportsLoads && l.Speaks() >= wire.KnowsEvacuations {
+		if _, works := g.servers[server]; works && g.reportsLoads && l.Version() >= wire.EvacuationsVersion {
 			out = append(out, g.id)
 		}
 	}
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -183,7 +183,7 @@
 
 // sendEvacuated sends a gateway the zones that are being evacuated. Callers hold h.mu.
 func (h *hub) sendEvacuated(l *wire.Link) {
-	if h.evacuated.Number > 0 && l.Speaks() >= wire.KnowsEvacuations {
+	if h.evacuated.Number > 0 && l.Version() >= wire.EvacuationsVersion {
 		_ = l.Send(&wire.Message{Evacuated: &h.evacuated})
 	}
 }
--- a/control/hub.go
+++ b/control/hub.go
@@ -221,7 +221,7 @@
 	_ = l.Send(&wire.Message{Servers: h.allServers(h.clock.Now())})
 	_ = l.Send(&wire.Message{Loads: h.sentToPeers.fullMessage()})
 	_ = l.Send(&wire.Message{Use: h.ledger.Snapshot(h.clock.Now())})
-	if observations := h.limitObservations(h.clock.Now()); len(observations) > 0 && l.Speaks() >= wire.KnowsLimits {
+	if observations := h.limitObservations(h.clock.Now()); len(observations) > 0 && l.Version() >= wire.LimitsVersion {
 		_ = l.Send(&wire.Message{Limits: &wire.Limits{Observations: observations}})
 	}
 }
--- a/control/limits.go
+++ b/control/limits.go
@@ -124,7 +124,7 @@
 // forwardLimits sends limits to the other replicas. Callers hold h.mu.
 func (h *hub) forwardLimits(now time.Time, m *wire.Message, forwarded ...*serverLimit) {
 	for l := range h.peers {
-		if l.Speaks() >= wire.KnowsLimits {
+		if l.Version() >= wire.LimitsVersion {
 			_ = l.Send(m)
 		}
 	}
@@ -226,7 +226,7 @@
 // this replica. Callers hold h.mu.
 func (h *hub) sendAllLimits(now time.Time) {
 	for l, g := range h.gateways {
-		if g.reportsLoads && !g.limitsSent && l.Speaks() >= wire.KnowsLimits {
+		if g.reportsLoads && !g.limitsSent && l.Version() >= wire.LimitsVersion {
 			g.limitsSent = true
 			_ = l.Send(&wire.Message{Limits: &wire.Limits{Observations: h.limitObservations(now), Supply: limitSupply(h.limits.supply)}})
 		}
@@ -285,7 +285,7 @@
 // there is none. Callers hold h.mu.
 func (h *hub) limitPeer(name string) *wire.Link {
 	for l := range h.peers {
-		if baseName(l.Peer.Name) == name && l.Speaks() >= wire.KnowsLimits {
+		if baseName(l.Peer.Name) == name && l.Version() >= wire.LimitsVersion {
 			return l
 		}
 	}
@@ -297,7 +297,7 @@
 func (h *hub) linkedReplicas() []string {
 	var out []string
 	for l := range h.peers {
-		if l.Speaks() >= wire.KnowsLimits {
+		if l.Version() >= wire.LimitsVersion {
 			out = append(out, baseName(l.Peer.Name))
 		}
 	}
--- a/control/older.go
+++ b/control/older.go
@@ -23,7 +23,7 @@
 func (h *hub) updateOlderGateways(now time.Time) {
 	var list []registry.Server
 	for l, g := range h.gateways {
-		if l.Speaks() >= wire.KnowsEvacuations {
+		if l.Version() >= wire.EvacuationsVersion {
 			continue
 		}
 		if list == nil {
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -93,7 +93,7 @@
 func (e *Entry) agentConnected(a *agentLink, l *wire.Link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	event.LinkUp.Log(e.log, "peer", a.name, "build", l.Peer.Build, "speaks", l.Speaks())
+	event.LinkUp.Log(e.log, "peer", a.name, "build", l.Peer.Build, "speaks", l.Version())
 	now := clock.VM.Now()
 	a.link, a.abandoned, a.leaving, a.loadReported, a.assetsReported = l, false, false, false, false
 	_ = l.Send(&wire.Message{Heartbeat: &wire.Heartbeat{Revision: e.revisionInForce()}})
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -208,7 +208,7 @@
 }
 
 func (e *Entry) runUpstream(l *wire.Link) {
-	event.LinkUp.Log(e.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Speaks())
+	event.LinkUp.Log(e.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Version())
 	e.mu.Lock()
 	e.upstream = l
 	_ = l.Send(&wire.Message{Pull: &wire.Pull{Have: e.store.Revision()}})
--- a/gateway/limit_tokens.go
+++ b/gateway/limit_tokens.go
@@ -98,7 +98,7 @@
 // nil if there is none.
 func (l *links) sendLimits(now time.Time, hub *wire.Link) {
 	f := l.g.fleet
-	supported := hub != nil && hub.Speaks() >= wire.KnowsLimits && l.connected()
+	supported := hub != nil && hub.Version() >= wire.LimitsVersion && l.connected()
 	f.mu.Lock()
 	if supported || f.limited.connectedAt.IsZero() {
 		f.limited.connectedAt = now
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -116,7 +116,7 @@
 		link, err := l.dialer.Dial(ctx, address, l.options())
 		if err == nil {
 			l.setLink(address, p, link, dialedAt)
-			event.LinkUp.Log(l.g.log, "peer", link.Peer.Name, "build", link.Peer.Build, "speaks", link.Speaks())
+			event.LinkUp.Log(l.g.log, "peer", link.Peer.Name, "build", link.Peer.Build, "speaks", link.Version())
 			err = link.Run(ctx, func(m *wire.Message) { l.handle(address, m) })
 			l.setLink(address, p, nil, dialedAt)
 			if ctx.Err() == nil {
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -176,7 +176,7 @@
 
 // sendLeaving notifies the hub of the servers that have reported that they are leaving.
 func (l *links) sendLeaving(hub *wire.Link) {
-	if hub.Speaks() < wire.KnowsLeaving {
+	if hub.Version() < wire.LeavingVersion {
 		return
 	}
 	f := l.g.fleet
--- a/wire/dialer.go
+++ b/wire/dialer.go
@@ -79,7 +79,7 @@
 		delete(d.apart, addr)
 		return
 	}
-	var apart *Apart
+	var apart *VersionError
 	if !errors.As(err, &apart) {
 		return
 	}
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -11,21 +11,21 @@
 const (
 	// BaseVersion is what field 1 of a Hello holds: builds without ranges refuse any other.
 	BaseVersion = 3
-	// TellsRanges is the first version whose builds tell the range that they speak.
-	TellsRanges = 4
-	// KnowsEvacuations is the first version whose gateways keep work from availability zones
+	// RangesVersion is the first version whose builds tell the range that they speak.
+	RangesVersion = 4
+	// EvacuationsVersion is the first version whose gateways keep work from availability zones
 	// that are being evacuated, and bound what they send to servers that are cold.
-	KnowsEvacuations = 5
-	// KnowsLimits is the first version whose gateways send to servers that name a limit only
+	EvacuationsVersion = 5
+	// LimitsVersion is the first version whose gateways send to servers that name a limit only
 	// under tokens of control.
-	KnowsLimits = 6
-	// KnowsLeaving is the first version whose replicas take the report of a gateway that a server
+	LimitsVersion = 6
+	// LeavingVersion is the first version whose replicas take the report of a gateway that a server
 	// leaves.
-	KnowsLeaving = 7
+	LeavingVersion = 7
 )
 
 // Versions are those that this build speaks.
-var Versions = compat.Range{Least: BaseVersion, Most: KnowsLeaving}
+var Versions = compat.Range{Least: BaseVersion, Most: LeavingVersion}
 
 // maxBuild bounds the name of a build in bytes: a module's version with its time and
 // commit has some forty.
@@ -80,15 +80,15 @@
 	return compat.Range{Least: h.Least, Most: h.Most}
 }
 
-// Apart tells that two ends of a link speak no version in common.
-type Apart struct {
+// VersionError tells that two ends of a link speak no version in common.
+type VersionError struct {
 	// Name and Build are the peer's, as it told them.
 	Name, Build  string
 	Ours, Theirs compat.Range
 }
 
 // Error returns both ranges in words.
-func (a *Apart) Error() string {
+func (a *VersionError) Error() string {
 	return fmt.Sprintf("%.64q (build %q) speaks version %v, this process %v", a.Name, a.Build, a.Theirs, a.Ours)
 }
 
@@ -101,14 +101,14 @@
 	switch {
 	case !theirs.Valid():
 		return bad("the hello tells versions from %d to %d, want 1 to %d in order", theirs.Least, theirs.Most, compat.MaxVersion)
-	case h.Least == 0 && h.Version >= TellsRanges:
+	case h.Least == 0 && h.Version >= RangesVersion:
 		return bad("the hello tells version %d and no range", h.Version)
 	case !plain(h.Build):
 		return bad("the build's name of %d bytes is no short plain text", len(h.Build))
 	}
 	version, ok := compat.Common(ours, theirs)
 	if !ok {
-		apart := &Apart{Name: h.Name, Build: h.Build, Ours: ours, Theirs: theirs}
+		apart := &VersionError{Name: h.Name, Build: h.Build, Ours: ours, Theirs: theirs}
 		return 0, fault.Wrap(apart, fault.VersionsApart, fault.StepLink, addr)
 	}
 	return version, nil
--- a/wire/limits.go
+++ b/wire/limits.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Limits tells of servers that name a limit of requests a second, and of the tokens under which
-// such servers are sent requests. It is said from version KnowsLimits on.
+// such servers are sent requests. It is said from version LimitsVersion on.
 type Limits struct {
 	Observations []LimitObservation `cbor:"1,keyasint,omitempty"`
 	// Asks is what a gateway, or the gateways of a replica, would send; what is not listed is
--- a/wire/link.go
+++ b/wire/link.go
@@ -51,9 +51,9 @@
 	// Peer is the Hello of the other side.
 	Peer Hello
 
-	speaks int
-	reader reader
-	log    *slog.Logger
+	version int
+	reader  reader
+	log     *slog.Logger
 
 	conn *websocket.Conn
 	idle time.Duration
@@ -140,12 +140,12 @@
 		return fault.New(fault.BadPeer, fault.StepLink, addr, "the first frame is not a hello")
 	}
 	l.Peer = *m.Hello
-	l.speaks, err = l.Peer.agree(ours, addr)
+	l.version, err = l.Peer.agree(ours, addr)
 	return err
 }
 
-// Speaks returns the version that both ends speak, the highest that both know.
-func (l *Link) Speaks() int { return l.speaks }
+// Version returns the version that both ends speak, the highest that both know.
+func (l *Link) Version() int { return l.version }
 
 func (l *Link) read(ctx context.Context, peer string) (*Message, error) {
 	kind, frame, err := l.conn.Read(ctx)
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -60,7 +60,7 @@
 		r.bad.Every, r.bad.Most = badEvery, mostBad
 	})
 	metric.LinksRefused.WithLabelValues(string(s), f.Code.ID).Inc()
-	var apart *Apart
+	var apart *VersionError
 	if errors.As(err, &apart) {
 		if r.first(now, peerKey(s, addr, apart)) {
 			event.VersionsApart.Log(log, "peer", addr, "error", f)
@@ -101,7 +101,7 @@
 
 // peerKey tells peers and their ranges apart. Whoever opened a link has another port each
 // time, and the name says which process of the host it is.
-func peerKey(s side, addr string, a *Apart) string {
+func peerKey(s side, addr string, a *VersionError) string {
 	if s == accepted {
 		addr = host(addr) + " " + a.Name[:min(len(a.Name), keyName)]
 	}
