--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -29,14 +29,14 @@
 	ID string
 	// MaxConnections bounds the connections of this pool to the server.
 	MaxConnections int
-	// Server names the start of the server; its requests end with it (Pool.End).
+	// Server names the start of the server; its requests end with it (Pool.EndIncarnation).
 	Server string
-	// Admitted tells that the request was counted against the server's limit, Frees that it frees
+	// Admitted tells that the request was counted against the server's limit, Cleanup that it frees
 	// what the server keeps for nobody: it goes out whatever the limit, and is counted later.
-	Admitted, Frees bool
-	// Fresh asks for a new connection, since a kept one may break in a way
+	Admitted, Cleanup bool
+	// NewConnection asks for a new connection, since a kept one may break in a way
 	// that leaves it open whether the server has seen the request.
-	Fresh bool
+	NewConnection bool
 }
 
 // alone tells that a request has no connection that was used before: an answer to a call
@@ -71,9 +71,9 @@
 	return errors.As(err, &e) && e.Sent
 }
 
-// TellsNothing tells whether an error says nothing of the server: the gateway itself has kept the
+// WithheldByGateway tells whether an error says nothing of the server: the gateway itself has kept the
 // request back.
-func TellsNothing(err error) bool {
+func WithheldByGateway(err error) bool {
 	return errors.Is(err, ErrFull) || errors.Is(err, ErrLimited) || errors.Is(err, ErrPaused) || errors.Is(err, ErrEnded)
 }
 
@@ -130,7 +130,7 @@
 	if err != nil {
 		if len(c.carried) > 1 && (isTimeout(err) || errors.Is(ctx.Err(), context.DeadlineExceeded)) {
 			// Kept connections may have gone silent together, while new ones work.
-			p.Forget(r.Address)
+			p.CloseIdle(r.Address)
 		}
 		a.finish(false)
 		return nil, &Error{Sent: true, Cause: err}
--- a/backend/names.go
+++ b/backend/names.go
@@ -111,17 +111,17 @@
 	Handle string
 	// Tokens is its length.
 	Tokens int
-	// Made is the number of events that a copied run had made by its engine's own
+	// Generated is the number of events that a copied run had made by its engine's own
 	// count; zero if the engine does not tell.
-	Made int
+	Generated int
 }
 
 // Protocol is what a deployment's servers speak.
 type Protocol struct {
 	Headers Headers
-	// EventsByOne tells that engines give the events of a stream whole numbers that rise by
+	// ConsecutiveEventIDs tells that engines give the events of a stream whole numbers that rise by
 	// one, so that a gateway sees what is missing. Otherwise their IDs are only names.
-	EventsByOne bool
+	ConsecutiveEventIDs bool
 	// ParseKV reads the answer to a prefill.
 	ParseKV func(body []byte) (KV, error)
 	// FreeKV returns the call that frees a KV cache.
@@ -131,17 +131,17 @@
 	// any more. ParseKV reads the answer, whose handle names the copy. Engines
 	// whose runs can't go on elsewhere have none.
 	CopyRun func(id, target string, stop bool) Call
-	// TakeHold returns the call that sets a slot and memory aside at an engine
+	// ReserveHold returns the call that sets a slot and memory aside at an engine
 	// for a time, ParseHold reads the name of the hold from the answer, and
-	// DropHold returns the call that gives it back. Engines without holds have
+	// ReleaseHold returns the call that gives it back. Engines without holds have
 	// none of them.
-	TakeHold  func(tokens int, d time.Duration) Call
-	ParseHold func(body []byte) (string, error)
-	DropHold  func(hold string) Call
-	// ListKept returns the call that lists the prompt parts whose KV cache an engine
-	// keeps, and ParseKept reads the answer. Engines that do not tell have neither.
-	ListKept  func() Call
-	ParseKept func(body []byte) ([]route.PromptPart, error)
+	ReserveHold func(tokens int, d time.Duration) Call
+	ParseHold   func(body []byte) (string, error)
+	ReleaseHold func(hold string) Call
+	// ListCachedParts returns the call that lists the prompt parts whose KV cache an engine
+	// keeps, and ParseCachedParts reads the answer. Engines that do not tell have neither.
+	ListCachedParts  func() Call
+	ParseCachedParts func(body []byte) ([]route.PromptPart, error)
 	// ParseParts reads the field PromptParts of a caller; what can't be read is none.
 	ParseParts func(field string) []route.PromptPart
 	// RoleOrder returns the call that changes an engine's role, and Report the
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -70,7 +70,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case r.Fresh:
+	case r.NewConnection:
 		return causeOnce
 	case r.alone():
 		return causeNoID
@@ -82,7 +82,7 @@
 
 // get returns an idle connection that may carry a request, or opens one.
 func (p *Pool) get(ctx context.Context, r *Request) (*conn, error) {
-	if !r.Fresh {
+	if !r.NewConnection {
 		if c := p.takeIdle(r); c != nil {
 			return c, nil
 		}
@@ -104,7 +104,7 @@
 		p.OnConnect(r.Server, clock.VM.Now().Sub(started))
 	}
 	metric.Connections.WithLabelValues(cause).Inc()
-	if r.Fresh && !c.taken() {
+	if r.NewConnection && !c.taken() {
 		p.drop(r.Address, c)
 		return nil, errNotTaken
 	}
@@ -117,7 +117,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	full := r.MaxConnections > 0 && p.open[r.Address] >= r.MaxConnections
-	if idle := p.idle[r.Address]; full && len(idle) > 0 && (r.Fresh || !idle[0].mayCarry(r)) {
+	if idle := p.idle[r.Address]; full && len(idle) > 0 && (r.NewConnection || !idle[0].mayCarry(r)) {
 		p.idle[r.Address] = idle[1:]
 		p.open[r.Address]--
 		_ = idle[0].Close()
@@ -153,9 +153,9 @@
 	return ok && clock.VM.Now().Sub(at) < namingFor
 }
 
-// Reach opens a connection to a server and closes it again, which tells whether the server
+// Probe opens a connection to a server and closes it again, which tells whether the server
 // is there.
-func Reach(ctx context.Context, address string) error {
+func Probe(ctx context.Context, address string) error {
 	c, err := dial(ctx, address)
 	if err != nil {
 		return err
@@ -250,8 +250,8 @@
 	}
 }
 
-// Forget closes the idle connections to a server.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to a server.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -283,10 +283,10 @@
 	}
 }
 
-// End closes the connections to a start of a server that has ended: idle ones to its
+// EndIncarnation closes the connections to a start of a server that has ended: idle ones to its
 // address, and those with requests, which break off as they would have if the server's VM
 // had still been there to reset them.
-func (p *Pool) End(server, address string) {
+func (p *Pool) EndIncarnation(server, address string) {
 	p.mu.Lock()
 	var busy []*conn
 	for c := range p.busy[server] {
@@ -296,7 +296,7 @@
 	for _, c := range busy {
 		_ = c.Close()
 	}
-	p.Forget(address)
+	p.CloseIdle(address)
 }
 
 // Close closes all idle connections and keeps none from now on.
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -70,7 +70,7 @@
 		return
 	}
 	r := n.callTo(s, c)
-	r.Frees = true
+	r.Cleanup = true
 	g.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(g.ctx, freeTimeout)
 		defer cancel()
--- a/gateway/check_server.go
+++ b/gateway/check_server.go
@@ -69,13 +69,13 @@
 		call = p.Report()
 	}
 	if call.Path == "" {
-		return backend.Reach(ctx, s.Address)
+		return backend.Probe(ctx, s.Address)
 	}
 	res, body := g.exchange(ctx, q, s, g.callTo(q, s, call))
 	switch {
 	case res.kind == misdirected:
 		return errRestarted
-	case res.kind == notSent && !backend.TellsNothing(res.err):
+	case res.kind == notSent && !backend.WithheldByGateway(res.err):
 		return res.err
 	case res.kind == broken && backend.WasSent(res.err) && ctx.Err() == nil && !errors.Is(res.err, os.ErrDeadlineExceeded):
 		return res.err // a server that is slow or starts to answer is running
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -117,7 +117,7 @@
 	tryCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	r := q.toServer(h, s, limit, g.fleet.gatewaysPerServer(s))
-	r.Fresh = q.route.Kind == route.Once
+	r.NewConnection = q.route.Kind == route.Once
 	a, err := g.pool.Do(tryCtx, h, r)
 	if err != nil {
 		return g.classifyError(tryCtx, q, err)
@@ -153,7 +153,7 @@
 	if a.Status == http.StatusMisdirectedRequest {
 		a.Close()
 		g.fleet.markGone(s.ID)
-		g.pool.Forget(s.Address)
+		g.pool.CloseIdle(s.Address)
 		return result{kind: misdirected, status: a.Status}, true
 	}
 	if a.Header.Get(h.NotRun) == "" {
@@ -191,7 +191,7 @@
 	case notRun:
 		return dispatch.Busy
 	case notSent:
-		if backend.TellsNothing(r.err) {
+		if backend.WithheldByGateway(r.err) {
 			return dispatch.Neutral
 		}
 		return dispatch.Unreachable
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -144,7 +144,7 @@
 func (g *Gateway) noteRestart(s *dispatch.Server) {
 	event.ServerRestarted.Log(g.log, "server", s.StableName(), "address", s.Address)
 	g.contents.noteRestart(s.ID)
-	g.pool.End(s.ID, s.Address)
+	g.pool.EndIncarnation(s.ID, s.Address)
 }
 
 // firstTableTimeout is how long a request waits for the first table, and for the first update on
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -27,7 +27,7 @@
 // reached.
 func (n *generation) acquireHold(ctx context.Context) bool {
 	p, engine := &n.g.cfg.Protocol, n.q.service.Engine
-	if p.TakeHold == nil || engine.HoldMost <= 0 || n.pair.Prefill == nil {
+	if p.ReserveHold == nil || engine.HoldMost <= 0 || n.pair.Prefill == nil {
 		return true
 	}
 	s := n.pair.Decode
@@ -41,7 +41,7 @@
 	hctx, cancel := n.g.detachedContext(ctx, holdTimeout+holdRoundTrips*n.g.fleet.roundTrip(s.Zone))
 	defer cancel()
 	started := n.g.clock.Now()
-	r := n.callTo(s, p.TakeHold(n.q.work.Prompt, min(n.pair.PrefillTime+holdMargin, engine.HoldMost)))
+	r := n.callTo(s, p.ReserveHold(n.q.work.Prompt, min(n.pair.PrefillTime+holdMargin, engine.HoldMost)))
 	res, body := n.g.exchange(hctx, n.q, s, r)
 	if res.kind == answered && res.status == http.StatusOK {
 		hold, err := p.ParseHold(body)
@@ -69,7 +69,7 @@
 	}
 	s, hold := n.pair.Decode, n.hold
 	n.hold = ""
-	n.freeInBackground(s, n.g.cfg.Protocol.DropHold(hold))
+	n.freeInBackground(s, n.g.cfg.Protocol.ReleaseHold(hold))
 }
 
 // freeKV frees a KV cache that no decode engine has taken over.
--- a/gateway/prompt_cache.go
+++ b/gateway/prompt_cache.go
@@ -45,7 +45,7 @@
 
 // findCached returns how many tokens of a request's prompt are cached, by engine.
 func (g *Gateway) findCached(q *request) map[string]int {
-	if g.cfg.Protocol.ListKept == nil || len(q.parts) == 0 {
+	if g.cfg.Protocol.ListCachedParts == nil || len(q.parts) == 0 {
 		return nil
 	}
 	c := g.cachedPromptsOf(q.service.Name)
@@ -91,14 +91,14 @@
 // If it returns an error, it also returns the parts that could be read.
 func (g *Gateway) listCachedAt(ctx context.Context, q *request, s *dispatch.Server) (map[string]int, error) {
 	p := &g.cfg.Protocol
-	res, body := g.exchange(ctx, q, s, g.callTo(q, s, p.ListKept()))
+	res, body := g.exchange(ctx, q, s, g.callTo(q, s, p.ListCachedParts()))
 	if res.err != nil {
 		return nil, fmt.Errorf("gateway: list of cached prompts: %w", res.err)
 	}
 	if res.kind != answered || res.status != http.StatusOK {
 		return nil, fmt.Errorf("gateway: list of cached prompts: %s, status %d", res.kind, res.status)
 	}
-	list, err := p.ParseKept(body)
+	list, err := p.ParseCachedParts(body)
 	out := make(map[string]int, len(list))
 	for _, part := range list {
 		out[part.ID] = part.Tokens
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -152,10 +152,10 @@
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	switch {
-	case !f.view.AdmitCall(now, r.Server, r.Frees):
+	case !f.view.AdmitCall(now, r.Server, r.Cleanup):
 		return backend.ErrPaused
 	case !limited:
-	case r.Frees: // nothing may stay reserved for a request that has ended
+	case r.Cleanup: // nothing may stay reserved for a request that has ended
 		f.view.OweToken(now, r.Server)
 	case !f.view.TakeToken(now, r.Server):
 		return backend.ErrLimited
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -52,7 +52,7 @@
 
 func newStreamWriter(g *Gateway, w http.ResponseWriter, q *request) *streamWriter {
 	s := &streamWriter{g: g, w: w, control: http.NewResponseController(w), q: q, order: &eventstream.OpaqueIDs{}}
-	if g.cfg.Protocol.EventsByOne {
+	if g.cfg.Protocol.ConsecutiveEventIDs {
 		s.order = &eventstream.Sequence{}
 	}
 	// On a route that is not resumable a run starts from the beginning, whatever the caller has of
