--- a/wire/build.go
+++ b/wire/build.go
@@ -20,8 +20,8 @@
 	if name == "" && info != nil && info.Main.Version != "(devel)" {
 		name = info.Main.Version
 	}
-	name = name[:min(len(name), maxBuild)]
-	if name == "" || !plain(name) {
+	name = name[:min(len(name), maxBuildBytes)]
+	if name == "" || !printable(name) {
 		return "unknown"
 	}
 	return name
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -20,7 +20,7 @@
 )
 
 // kindNames are the names of the kinds of messages by number.
-var kindNames = func() (names [mostKinds]string) {
+var kindNames = func() (names [maxKinds]string) {
 	t := reflect.TypeFor[Message]()
 	for i := range t.NumField() {
 		number, _, _ := strings.Cut(t.Field(i).Tag.Get("cbor"), ",")
--- a/wire/dialer.go
+++ b/wire/dialer.go
@@ -13,13 +13,13 @@
 	"github.com/ledgepin/ledgepin/retry"
 )
 
-// apartPause spaces the tries at a peer whose versions are apart. It begins with the pace at
-// which links are opened again (dialEvery) and ends where a peer that has been replaced
+// versionBackoff spaces the tries at a peer whose versions are apart. It begins with the pace at
+// which links are opened again (dialInterval) and ends where a peer that has been replaced
 // is still met within the times that links take to be missed (idleTimeout).
-var apartPause = retry.Backoff{Min: dialEvery, Max: idleTimeout}
+var versionBackoff = retry.Backoff{Min: dialInterval, Max: idleTimeout}
 
-// mostApart bounds the peers that are remembered: ten times those of the largest site.
-const mostApart = 4096
+// maxMismatched bounds the peers that are remembered: ten times those of the largest site.
+const maxMismatched = 4096
 
 // Dialer opens the links of a process. A peer whose versions are apart stays so until one of
 // the two is replaced, so it is not asked again before a pause is over: until then Dial
@@ -32,13 +32,13 @@
 	Now    func() time.Time
 	Random func() float64
 
-	refusals refusals
-	mu       sync.Mutex
-	apart    map[string]*apartPeer
+	refusals   refusals
+	mu         sync.Mutex
+	mismatched map[string]*mismatchedPeer
 }
 
-// apartPeer is a peer whose versions are apart.
-type apartPeer struct {
+// mismatchedPeer is a peer whose versions are apart.
+type mismatchedPeer struct {
 	theirs   compat.Range
 	failures int
 	next     time.Time
@@ -47,7 +47,7 @@
 
 // Dial opens a link to the process at addr as the function Dial does.
 func (d *Dialer) Dial(ctx context.Context, addr string, o Options) (*Link, error) {
-	if err := d.tooEarly(addr); err != nil {
+	if err := d.backoffError(addr); err != nil {
 		return nil, err
 	}
 	if o.Log == nil {
@@ -55,58 +55,58 @@
 	}
 	l, err := Dial(ctx, addr, o)
 	if err != nil {
-		d.refusals.tell(d.Log, d.now(), dialled, addr, err)
+		d.refusals.record(d.Log, d.now(), dialled, addr, err)
 	}
-	d.note(addr, err)
+	d.record(addr, err)
 	return l, err
 }
 
-// tooEarly returns the refusal of a peer that is not to be asked yet.
-func (d *Dialer) tooEarly(addr string) error {
+// backoffError returns the refusal of a peer that is not to be asked yet.
+func (d *Dialer) backoffError(addr string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if p := d.apart[addr]; p != nil && d.now().Before(p.next) {
+	if p := d.mismatched[addr]; p != nil && d.now().Before(p.next) {
 		return p.err
 	}
 	return nil
 }
 
-// note takes how a try ended.
-func (d *Dialer) note(addr string, err error) {
+// record takes how a try ended.
+func (d *Dialer) record(addr string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		delete(d.apart, addr)
+		delete(d.mismatched, addr)
 		return
 	}
-	var apart *VersionError
-	if !errors.As(err, &apart) {
+	var mismatched *VersionError
+	if !errors.As(err, &mismatched) {
 		return
 	}
-	p := d.apart[addr]
-	if p == nil || p.theirs != apart.Theirs {
-		p = &apartPeer{theirs: apart.Theirs}
-		d.keep(addr, p)
+	p := d.mismatched[addr]
+	if p == nil || p.theirs != mismatched.Theirs {
+		p = &mismatchedPeer{theirs: mismatched.Theirs}
+		d.remember(addr, p)
 	}
-	p.err, p.next = err, d.now().Add(apartPause.Pause(p.failures, d.random()))
+	p.err, p.next = err, d.now().Add(versionBackoff.Pause(p.failures, d.random()))
 	p.failures++
 }
 
-// keep remembers a peer, in the place of those that nobody dials any more if there are many.
-func (d *Dialer) keep(addr string, p *apartPeer) {
-	if d.apart == nil {
-		d.apart = map[string]*apartPeer{}
+// remember remembers a peer, in the place of those that nobody dials any more if there are many.
+func (d *Dialer) remember(addr string, p *mismatchedPeer) {
+	if d.mismatched == nil {
+		d.mismatched = map[string]*mismatchedPeer{}
 	}
-	for other, o := range d.apart {
-		if len(d.apart) < mostApart {
+	for other, o := range d.mismatched {
+		if len(d.mismatched) < maxMismatched {
 			break
 		}
-		if d.now().After(o.next.Add(apartPause.Max)) {
-			delete(d.apart, other)
+		if d.now().After(o.next.Add(versionBackoff.Max)) {
+			delete(d.mismatched, other)
 		}
 	}
-	if len(d.apart) < mostApart {
-		d.apart[addr] = p
+	if len(d.mismatched) < maxMismatched {
+		d.mismatched[addr] = p
 	}
 }
 
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -27,13 +27,13 @@
 // Versions are those that this build speaks.
 var Versions = compat.Range{Least: BaseVersion, Most: LeavingVersion}
 
-// maxBuild bounds the name of a build in bytes: a module's version with its time and
+// maxBuildBytes bounds the name of a build in bytes: a module's version with its time and
 // commit has some forty.
-const maxBuild = 64
+const maxBuildBytes = 64
 
-// maxHello bounds the frame of a hello in bytes, so that somebody who is not known yet can
+// maxHelloBytes bounds the frame of a hello in bytes, so that somebody who is not known yet can
 // have little kept: hellos have some hundred.
-const maxHello = 64 << 10
+const maxHelloBytes = 64 << 10
 
 // Roles that a Hello may name.
 const (
@@ -92,8 +92,8 @@
 	return fmt.Sprintf("%.64q (build %q) speaks version %v, this process %v", a.Name, a.Build, a.Theirs, a.Ours)
 }
 
-// agree returns the version to speak with a peer: the highest that both ends know.
-func (h *Hello) agree(ours compat.Range, addr string) (int, error) {
+// negotiate returns the version to speak with a peer: the highest that both ends know.
+func (h *Hello) negotiate(ours compat.Range, addr string) (int, error) {
 	bad := func(format string, args ...any) (int, error) {
 		return 0, fault.New(fault.BadPeer, fault.StepLink, addr, fmt.Sprintf(format, args...))
 	}
@@ -103,20 +103,20 @@
 		return bad("the hello tells versions from %d to %d, want 1 to %d in order", theirs.Least, theirs.Most, compat.MaxVersion)
 	case h.Least == 0 && h.Version >= RangesVersion:
 		return bad("the hello tells version %d and no range", h.Version)
-	case !plain(h.Build):
+	case !printable(h.Build):
 		return bad("the build's name of %d bytes is no short plain text", len(h.Build))
 	}
 	version, ok := compat.Common(ours, theirs)
 	if !ok {
-		apart := &VersionError{Name: h.Name, Build: h.Build, Ours: ours, Theirs: theirs}
-		return 0, fault.Wrap(apart, fault.VersionsApart, fault.StepLink, addr)
+		mismatch := &VersionError{Name: h.Name, Build: h.Build, Ours: ours, Theirs: theirs}
+		return 0, fault.Wrap(mismatch, fault.VersionsApart, fault.StepLink, addr)
 	}
 	return version, nil
 }
 
-// plain tells whether a build's name can stand in a line of a log.
-func plain(build string) bool {
-	if len(build) > maxBuild {
+// printable tells whether a build's name can stand in a line of a log.
+func printable(build string) bool {
+	if len(build) > maxBuildBytes {
 		return false
 	}
 	for _, c := range []byte(build) {
--- a/wire/link.go
+++ b/wire/link.go
@@ -66,16 +66,16 @@
 
 // Times of opening a link and of silence on it.
 const (
-	// dialEvery is the time between two packets that open a connection, some
+	// dialInterval is the time between two packets that open a connection, some
 	// round trips of a site; dialTimeout is how long all of them may take.
-	dialEvery   = 60 * time.Millisecond
-	dialTimeout = 640 * time.Millisecond
-	linkSilence = 2 * time.Second
+	dialInterval = 60 * time.Millisecond
+	dialTimeout  = 640 * time.Millisecond
+	userTimeout  = 2 * time.Second
 )
 
 // dial opens the connection of a link: the VM may have had no power when the
 // first packet came.
-var dial = sock.Redialer(linkSilence, dialEvery, dialTimeout)
+var dial = sock.Redialer(userTimeout, dialInterval, dialTimeout)
 
 // Dial opens a link to the process at addr, an IP number and port.
 func Dial(ctx context.Context, addr string, o Options) (*Link, error) {
@@ -110,7 +110,7 @@
 
 // open exchanges the Hellos.
 func open(ctx context.Context, conn *websocket.Conn, addr string, o Options) (*Link, error) {
-	conn.SetReadLimit(maxHello)
+	conn.SetReadLimit(maxHelloBytes)
 	l := &Link{conn: conn, log: o.Log, idle: cmp.Or(o.Idle, idleTimeout), out: make(chan []byte, sendQueue), done: make(chan struct{})}
 	if err := l.handshake(ctx, addr, o); err != nil {
 		_ = conn.Close(websocket.StatusPolicyViolation, "bad hello")
@@ -140,7 +140,7 @@
 		return fault.New(fault.BadPeer, fault.StepLink, addr, "the first frame is not a hello")
 	}
 	l.Peer = *m.Hello
-	l.version, err = l.Peer.agree(ours, addr)
+	l.version, err = l.Peer.negotiate(ours, addr)
 	return err
 }
 
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -15,10 +15,10 @@
 // serve, which must run the link to its end.
 func Handler(log *slog.Logger, o Options, serve func(*Link)) http.Handler {
 	o.Log = log
-	refused, strangers := &refusals{}, &event.Limiter{Every: badEvery, Most: mostBad}
+	refused, unauthorized := &refusals{}, &event.Limiter{Every: badInterval, Most: maxBadLines}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !TokenOK(r, o.Token) {
-			if strangers.Allow(clock.VM.Now(), host(r.RemoteAddr)) {
+			if unauthorized.Allow(clock.VM.Now(), host(r.RemoteAddr)) {
 				event.PeerRefused.Log(log, "peer", r.RemoteAddr)
 			}
 			http.Error(w, fault.Unauthorized.ID, http.StatusUnauthorized)
@@ -26,7 +26,7 @@
 		}
 		l, err := Accept(w, r, o)
 		if err != nil {
-			refused.tell(log, clock.VM.Now(), accepted, r.RemoteAddr, err)
+			refused.record(log, clock.VM.Now(), accepted, r.RemoteAddr, err)
 			return
 		}
 		defer l.Close()
--- a/wire/unknown.go
+++ b/wire/unknown.go
@@ -18,26 +18,26 @@
 // mode that passes over, and that mode is used for the kind from then on, so that a later
 // build costs a second decode for each kind, not for each message.
 
-// mostKinds bounds the kinds of messages that are told apart by number.
-const mostKinds = 256
+// maxKinds bounds the kinds of messages that are told apart by number.
+const maxKinds = 256
 
-// other stands for kinds whose number is not told apart; no kind has it.
-const other = 0
+// otherKind stands for kinds whose number is not told apart; no kind has it.
+const otherKind = 0
 
 // strictMode fails at a field that the message does not have.
 var strictMode = must(decOptions(cbor.ExtraDecErrorUnknownField).DecMode())
 
 // reader decodes the frames of one link. It is used by one goroutine at a time.
 type reader struct {
-	// passes are the kinds in which an unknown field has been met.
-	passes [mostKinds]bool
+	// lenient are the kinds in which an unknown field has been met.
+	lenient [maxKinds]bool
 }
 
 // read decodes a frame from peer; it reports the kind of the frame and whether that shows
 // its first unknown field.
-func (r *reader) read(frame []byte, peer string) (m *Message, kind int, fresh bool, err error) {
+func (r *reader) read(frame []byte, peer string) (m *Message, kind int, firstUnknown bool, err error) {
 	kind = kindOf(frame)
-	if !r.passes[kind] {
+	if !r.lenient[kind] {
 		m = &Message{}
 		if err = strictMode.Unmarshal(frame, m); err == nil {
 			return m, kind, false, nil
@@ -47,9 +47,9 @@
 		}
 	}
 	m, err = Unmarshal(frame, peer)
-	fresh = err == nil && !r.passes[kind]
-	r.passes[kind] = r.passes[kind] || fresh
-	return m, kind, fresh, err
+	firstUnknown = err == nil && !r.lenient[kind]
+	r.lenient[kind] = r.lenient[kind] || firstUnknown
+	return m, kind, firstUnknown, err
 }
 
 // kindOf returns the number of the one field that a frame has, as every build writes it.
@@ -57,13 +57,13 @@
 	const oneField, oneByte = 0xa1, 0x18 // CBOR's heads of a map of one, and of a number of one byte
 	switch {
 	case len(frame) < 3 || frame[0] != oneField:
-		return other
+		return otherKind
 	case frame[1] < oneByte:
 		return int(frame[1])
 	case frame[1] == oneByte:
 		return int(frame[2])
 	}
-	return other
+	return otherKind
 }
 
 // kindName names a kind for people: by its field, or by its number.
@@ -71,7 +71,7 @@
 	if name := kindNames[kind]; name != "" {
 		return name
 	}
-	if kind == other {
+	if kind == otherKind {
 		return "other"
 	}
 	return strconv.Itoa(kind)
@@ -79,8 +79,8 @@
 
 // decode reads a frame, and tells of an unknown field.
 func (l *Link) decode(frame []byte, peer string) (*Message, error) {
-	m, kind, fresh, err := l.reader.read(frame, peer)
-	if fresh {
+	m, kind, firstUnknown, err := l.reader.read(frame, peer)
+	if firstUnknown {
 		metric.UnknownFields.WithLabelValues(kindName(kind)).Inc()
 		event.UnknownFields.Log(l.log, "peer", peer, "build", l.Peer.Build, "kind", kindName(kind))
 	}
