--- a/wire/build.go
+++ b/wire/build.go
@@ -8,7 +8,7 @@
 // build is the name that a linker flag sets: -X github.com/ledgepin/ledgepin/wire.build=NAME.
 var build string
 
-// Build returns the name of this build: the one that it was linked with, else the module's
+// Build returns the name of this build: the one set by the linker, else the module's
 // version, else "unknown".
 var Build = sync.OnceValue(func() string {
 	info, _ := debug.ReadBuildInfo()
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -11,7 +11,8 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// MaxFrame bounds one frame in bytes. The largest are prompts and whole trees.
+// MaxFrame is the maximum size of one frame in bytes. The largest frames carry prompts and
+// complete settings trees.
 const MaxFrame = 16 << 20
 
 var (
@@ -19,7 +20,7 @@
 	decMode = must(decOptions(cbor.ExtraDecErrorNone).DecMode())
 )
 
-// kindNames are the names of the kinds of messages by number.
+// kindNames holds the names of the message kinds, by number.
 var kindNames = func() (names [maxKinds]string) {
 	t := reflect.TypeFor[Message]()
 	for i := range t.NumField() {
@@ -45,11 +46,11 @@
 	return v
 }
 
-// Marshal returns the frame of m.
+// Marshal returns the frame that encodes m.
 func Marshal(m *Message) ([]byte, error) { return encMode.Marshal(m) }
 
-// Unmarshal reads one frame from peer, and passes over what it does not know. A
-// frame that is not a Message gives a BadPeer error.
+// Unmarshal decodes one frame received from peer and skips unknown fields. It returns a
+// BadPeer error if the frame is not a Message.
 func Unmarshal(frame []byte, peer string) (*Message, error) {
 	m := &Message{}
 	if err := decMode.Unmarshal(frame, m); err != nil {
--- a/wire/dialer.go
+++ b/wire/dialer.go
@@ -13,22 +13,23 @@
 	"github.com/ledgepin/ledgepin/retry"
 )
 
-// versionBackoff spaces the tries at a peer whose versions are apart. It begins with the pace at
-// which links are opened again (dialInterval) and ends where a peer that has been replaced
-// is still met within the times that links take to be missed (idleTimeout).
+// versionBackoff is the backoff before a peer with incompatible versions is dialled again. It
+// starts at the interval at which links are dialled again (dialInterval). Its maximum
+// (idleTimeout) is the time after which a missing link is noticed, so that a replaced peer is
+// connected within that time.
 var versionBackoff = retry.Backoff{Min: dialInterval, Max: idleTimeout}
 
-// maxMismatched bounds the peers that are remembered: ten times those of the largest site.
+// maxMismatched bounds the remembered peers: ten times the peers of the largest site.
 const maxMismatched = 4096
 
-// Dialer opens the links of a process. A peer whose versions are apart stays so until one of
-// the two is replaced, so it is not asked again before a pause is over: until then Dial
-// returns the last refusal at once, and whoever dials keeps its own pace. Other failures
-// pass by themselves and have no pause. The zero value is ready.
+// Dialer opens the links of a process. A peer with incompatible versions stays incompatible
+// until one of the two processes is replaced, so it is dialled again only after a backoff:
+// until then Dial returns the last error at once, and callers may retry at their own pace.
+// Other failures are transient and have no backoff. The zero value is ready to use.
 type Dialer struct {
-	// Log takes what links have to tell; it is set before the first use.
+	// Log receives the log lines of links; it is set before the first use.
 	Log *slog.Logger
-	// Now and Random, of [0, 1), are set by tests.
+	// Now and Random, which returns a number in [0, 1), are set by tests.
 	Now    func() time.Time
 	Random func() float64
 
@@ -37,7 +38,7 @@
 	mismatched map[string]*mismatchedPeer
 }
 
-// mismatchedPeer is a peer whose versions are apart.
+// mismatchedPeer is a peer that supports none of our versions.
 type mismatchedPeer struct {
 	theirs   compat.Range
 	failures int
@@ -45,7 +46,8 @@
 	err      error
 }
 
-// Dial opens a link to the process at addr as the function Dial does.
+// Dial opens a link to the process at addr as the function Dial does, unless the peer is in
+// its backoff.
 func (d *Dialer) Dial(ctx context.Context, addr string, o Options) (*Link, error) {
 	if err := d.backoffError(addr); err != nil {
 		return nil, err
@@ -61,7 +63,7 @@
 	return l, err
 }
 
-// backoffError returns the refusal of a peer that is not to be asked yet.
+// backoffError returns the last error of a peer that must not be dialled yet.
 func (d *Dialer) backoffError(addr string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// record takes how a try ended.
+// record updates the peer's backoff with the result of a dial.
 func (d *Dialer) record(addr string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +94,7 @@
 	p.failures++
 }
 
-// remember remembers a peer, in the place of those that nobody dials any more if there are many.
+// remember adds a peer. If there are too many, it removes those that are no longer dialled.
 func (d *Dialer) remember(addr string, p *mismatchedPeer) {
 	if d.mismatched == nil {
 		d.mismatched = map[string]*mismatchedPeer{}
--- a/wire/export_test.go
+++ b/wire/export_test.go
@@ -1,7 +1,7 @@
 package wire
 
-// NewReader returns the decoder of one link, which also tells whether a frame shows the
-// first unknown field of its kind, and the kind's name.
+// NewReader returns the decoder of one link, which also reports the name of the message's
+// kind and whether the frame has the first unknown field of that kind.
 func NewReader() func(frame []byte) (m *Message, kind string, firstUnknown bool, err error) {
 	r := &reader{}
 	return func(frame []byte) (*Message, string, bool, error) {
@@ -10,5 +10,5 @@
 	}
 }
 
-// Open exchanges hellos over a connection that is open, as Dial does.
+// Open exchanges hellos over an open connection, as Dial does.
 var Open = open
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -45,9 +45,9 @@
 	f.Add(later(f, map[int]any{200: 1}))
 }
 
-// FuzzUnmarshal feeds the decoder any frame; what it takes must survive a round trip. The
-// decoder of a link, which looks for unknown fields, must take the same and read the same,
-// the first time and when it has met one.
+// FuzzUnmarshal decodes arbitrary frames: an accepted frame must survive a round trip. The
+// decoder of a link, which looks for unknown fields, must accept the same frames and return
+// the same messages, for the first unknown field of a kind and for later ones.
 func FuzzUnmarshal(f *testing.F) {
 	addFrames(f)
 	f.Fuzz(func(t *testing.T, frame []byte) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// equal compares by what would be sent if a value is not equal to itself.
+// equal compares messages by their encoding if a value, such as NaN, does not equal itself.
 func equal(t *testing.T, a, b *wire.Message) bool {
 	if reflect.DeepEqual(a, b) {
 		return true
@@ -83,8 +83,8 @@
 	return string(x) == string(y)
 }
 
-// FuzzHello sends any first frame to a process that accepts links, and to one that dials.
-// Both judge it alike, and a peer that comes after it is served.
+// FuzzHello sends an arbitrary first frame to a process that accepts links and to one that
+// dials. Both must accept or refuse it alike, and the next peer must be served.
 func FuzzHello(f *testing.F) {
 	addFrames(f)
 	for _, h := range []wire.Hello{
@@ -117,8 +117,8 @@
 	})
 }
 
-// endpoints are a process that accepts links and a stub that a process dials, over sockets that
-// use up no ports.
+// endpoints are a process that accepts links and a stub that is dialled, over Unix sockets,
+// which use up no ports.
 type endpoints struct {
 	accept, stub string
 	opened       chan *wire.Link
@@ -187,7 +187,7 @@
 	return <-e.opened
 }
 
-// dials returns the link that a process opens to a peer with this first frame.
+// dials returns the link that is opened to a peer with this first frame.
 func (e *endpoints) dials(t *testing.T, frame []byte) (*wire.Link, error) {
 	t.Helper()
 	e.first <- frame
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -9,30 +9,30 @@
 
 // Versions of the protocol.
 const (
-	// BaseVersion is what field 1 of a Hello holds: builds without ranges refuse any other.
+	// BaseVersion is sent in field 1 of a Hello: builds without ranges refuse any other.
 	BaseVersion = 3
-	// RangesVersion is the first version whose builds tell the range that they speak.
+	// RangesVersion is the first version whose builds send the range that they support.
 	RangesVersion = 4
-	// EvacuationsVersion is the first version whose gateways keep work from availability zones
-	// that are being evacuated, and bound what they send to servers that are cold.
+	// EvacuationsVersion is the first version whose gateways send no new work to availability
+	// zones that are being evacuated, and bound what they send to cold servers.
 	EvacuationsVersion = 5
-	// LimitsVersion is the first version whose gateways send to servers that name a limit only
-	// under tokens of control.
+	// LimitsVersion is the first version whose gateways send requests to servers that report a
+	// rate limit only with tokens from control.
 	LimitsVersion = 6
-	// LeavingVersion is the first version whose replicas take the report of a gateway that a server
-	// leaves.
+	// LeavingVersion is the first version whose replicas accept a gateway's report that a server
+	// is leaving.
 	LeavingVersion = 7
 )
 
-// Versions are those that this build speaks.
+// Versions are the versions that this build supports.
 var Versions = compat.Range{Least: BaseVersion, Most: LeavingVersion}
 
-// maxBuildBytes bounds the name of a build in bytes: a module's version with its time and
-// commit has some forty.
+// maxBuildBytes bounds the name of a build: a module's version with its time and commit has
+// about forty bytes.
 const maxBuildBytes = 64
 
-// maxHelloBytes bounds the frame of a hello in bytes, so that somebody who is not known yet can
-// have little kept: hellos have some hundred.
+// maxHelloBytes bounds the frame of a hello, so that an unauthenticated peer can occupy
+// little memory: hellos have about a hundred bytes.
 const maxHelloBytes = 64 << 10
 
 // Roles that a Hello may name.
@@ -42,37 +42,37 @@
 	RoleControl = "control"
 	// RoleGateway is an entry that serves the routes of a routing table.
 	RoleGateway = "gateway"
-	// RoleAsker is a process that starts and asks for settings only.
+	// RoleAsker is a starting process that only requests settings.
 	RoleAsker = "asker"
 	// RoleFounder is a control replica with an empty disk that asks whether the
 	// group has been founded.
 	RoleFounder = "founder"
 )
 
-// Hello opens a link.
+// Hello is the first message of each side of a link.
 type Hello struct {
-	// Version is BaseVersion for ever; the versions that the process speaks are in Least
+	// Version is always BaseVersion; the versions that the process supports are in Least
 	// and Most.
 	Version int    `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint"`
 	Role    string `cbor:"3,keyasint"`
 	Zone    string `cbor:"4,keyasint"`
-	// Epoch is the start of the process, so that a restart is seen.
+	// Epoch is the start time of the process, so that a restart is detected.
 	Epoch int64 `cbor:"5,keyasint"`
-	// Revision is the settings revision that the process holds.
+	// Revision is the settings revision that the process has.
 	Revision uint64 `cbor:"6,keyasint"`
-	// Commit is the commit index of a control replica; zero while it is empty.
+	// Commit is the commit index of a control replica; zero while its log is empty.
 	Commit uint64 `cbor:"7,keyasint,omitempty"`
-	// Least and Most are the range of versions that the process speaks; both are missing
-	// from builds that know no ranges.
+	// Least and Most are the range of versions that the process supports; builds without
+	// ranges send neither.
 	Least int `cbor:"8,keyasint,omitempty"`
 	Most  int `cbor:"9,keyasint,omitempty"`
-	// Build is the name of the build, for people.
+	// Build is the name of the build, for logs.
 	Build string `cbor:"10,keyasint,omitempty"`
 }
 
-// Range returns the versions that the peer speaks: the range that it tells, or its one
-// version if it tells none.
+// Range returns the versions that the peer supports: the range that it sent, or its one
+// version if it sent none.
 func (h *Hello) Range() compat.Range {
 	if h.Least == 0 && h.Most == 0 {
 		return compat.Single(h.Version)
@@ -80,19 +80,19 @@
 	return compat.Range{Least: h.Least, Most: h.Most}
 }
 
-// VersionError tells that two ends of a link speak no version in common.
+// VersionError is the error that two ends of a link have no version in common.
 type VersionError struct {
-	// Name and Build are the peer's, as it told them.
+	// Name and Build are the peer's, as it sent them.
 	Name, Build  string
 	Ours, Theirs compat.Range
 }
 
-// Error returns both ranges in words.
+// Error returns the peer's name, its build and both ranges.
 func (a *VersionError) Error() string {
 	return fmt.Sprintf("%.64q (build %q) speaks version %v, this process %v", a.Name, a.Build, a.Theirs, a.Ours)
 }
 
-// negotiate returns the version to speak with a peer: the highest that both ends know.
+// negotiate returns the highest version that both ends support.
 func (h *Hello) negotiate(ours compat.Range, addr string) (int, error) {
 	bad := func(format string, args ...any) (int, error) {
 		return 0, fault.New(fault.BadPeer, fault.StepLink, addr, fmt.Sprintf(format, args...))
@@ -100,11 +100,11 @@
 	theirs := h.Range()
 	switch {
 	case !theirs.Valid():
-		return bad("the hello tells versions from %d to %d, want 1 to %d in order", theirs.Least, theirs.Most, compat.MaxVersion)
+		return bad("the hello has versions from %d to %d, want 1 to %d in ascending order", theirs.Least, theirs.Most, compat.MaxVersion)
 	case h.Least == 0 && h.Version >= RangesVersion:
-		return bad("the hello tells version %d and no range", h.Version)
+		return bad("the hello has version %d and no range", h.Version)
 	case !printable(h.Build):
-		return bad("the build's name of %d bytes is no short plain text", len(h.Build))
+		return bad("the build name of %d bytes is not short plain text", len(h.Build))
 	}
 	version, ok := compat.Common(ours, theirs)
 	if !ok {
@@ -114,7 +114,7 @@
 	return version, nil
 }
 
-// printable tells whether a build's name can stand in a line of a log.
+// printable reports whether a build's name may be written to a log line.
 func printable(build string) bool {
 	if len(build) > maxBuildBytes {
 		return false
--- a/wire/link.go
+++ b/wire/link.go
@@ -25,24 +25,24 @@
 	sendQueue    = 256
 	helloTimeout = 5 * time.Second
 	writeTimeout = 5 * time.Second
-	// idleTimeout is the silence after which a link is given up; peers send a
-	// heartbeat several times within it.
+	// idleTimeout is the time without a frame after which a link is closed; peers send
+	// several heartbeats within it.
 	idleTimeout = 5 * time.Second
 )
 
-// Options are what both sides of a link need.
+// Options configure one end of a link.
 type Options struct {
-	// Hello is sent first.
+	// Hello returns the first message.
 	Hello func() Hello
-	// Token is the bearer token that peers share; empty if none.
+	// Token is the bearer token that peers share; empty if there is none.
 	Token string
-	// TLS is the client's TLS settings; nil for plain TCP.
+	// TLS is the client's TLS configuration; nil for plain TCP.
 	TLS *tls.Config
-	// Idle is the silence after which a link is given up; the usual if zero.
+	// Idle is the time without a frame after which the link is closed; idleTimeout if zero.
 	Idle time.Duration
-	// Log takes what the link has to tell; nil if nobody reads it.
+	// Log receives the log lines of the link; nil discards them.
 	Log *slog.Logger
-	// Versions are those that this end speaks; those of the build if zero.
+	// Versions are those that this end supports; those of the build if zero.
 	Versions compat.Range
 }
 
@@ -60,24 +60,24 @@
 	out  chan []byte
 	done chan struct{}
 	once sync.Once
-	// The counts are for the budget of control traffic.
+	// The counters measure the control traffic against its budget.
 	sent, received, messages atomic.Int64
 }
 
-// Times of opening a link and of silence on it.
+// Timeouts of opening a link, and of bytes that the peer does not acknowledge.
 const (
-	// dialInterval is the time between two packets that open a connection, some
-	// round trips of a site; dialTimeout is how long all of them may take.
+	// dialInterval is the time between two attempts to open a connection, a few round
+	// trips within a site; dialTimeout bounds all of them together.
 	dialInterval = 60 * time.Millisecond
 	dialTimeout  = 640 * time.Millisecond
 	userTimeout  = 2 * time.Second
 )
 
-// dial opens the connection of a link: the VM may have had no power when the
-// first packet came.
+// dial opens the connection of a link. It repeats the attempt, since the VM may have been
+// without power when the first packet arrived.
 var dial = sock.Redialer(userTimeout, dialInterval, dialTimeout)
 
-// Dial opens a link to the process at addr, an IP number and port.
+// Dial opens a link to the process at addr, an IP address and port.
 func Dial(ctx context.Context, addr string, o Options) (*Link, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -97,7 +97,7 @@
 	return open(ctx, conn, addr, o)
 }
 
-// Accept turns an HTTP request into a link. The caller has checked the token.
+// Accept upgrades an HTTP request to a link. The caller has checked the token.
 func Accept(w http.ResponseWriter, r *http.Request, o Options) (*Link, error) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return open(ctx, conn, r.RemoteAddr, o)
 }
 
-// open exchanges the Hellos.
+// open exchanges the hellos.
 func open(ctx context.Context, conn *websocket.Conn, addr string, o Options) (*Link, error) {
 	conn.SetReadLimit(maxHelloBytes)
 	l := &Link{conn: conn, log: o.Log, idle: cmp.Or(o.Idle, idleTimeout), out: make(chan []byte, sendQueue), done: make(chan struct{})}
@@ -137,14 +137,14 @@
 		return err
 	}
 	if m.Hello == nil {
-		return fault.New(fault.BadPeer, fault.StepLink, addr, "the first frame is not a hello")
+		return fault.New(fault.BadPeer, fault.StepLink, addr, "the first frame is not a Hello")
 	}
 	l.Peer = *m.Hello
 	l.version, err = l.Peer.negotiate(ours, addr)
 	return err
 }
 
-// Version returns the version that both ends speak, the highest that both know.
+// Version returns the protocol version of the link: the highest that both ends support.
 func (l *Link) Version() int { return l.version }
 
 func (l *Link) read(ctx context.Context, peer string) (*Message, error) {
@@ -156,15 +156,15 @@
 		return nil, fault.Wrap(err, fault.LinkLost, fault.StepLink, peer)
 	}
 	if kind != websocket.MessageBinary {
-		return nil, fault.New(fault.BadPeer, fault.StepLink, peer, "a text frame")
+		return nil, fault.New(fault.BadPeer, fault.StepLink, peer, "received a text frame, want a binary one")
 	}
 	l.received.Add(int64(len(frame)))
 	l.messages.Add(1)
 	return l.decode(frame, peer)
 }
 
-// Send queues m. It returns a LinkLost error if the link is closed, and
-// closes a link whose peer does not read.
+// Send queues m. It returns a LinkLost error if the link is closed. If the queue is full
+// because the peer does not read, it closes the link.
 func (l *Link) Send(m *Message) error {
 	frame, err := Marshal(m)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return l.SendFrame(frame)
 }
 
-// SendFrame queues a frame that Marshal returned, so that one frame can go to
+// SendFrame queues a frame that Marshal returned, so that one frame can be sent to
 // many peers.
 func (l *Link) SendFrame(frame []byte) error {
 	select {
@@ -186,12 +186,12 @@
 		return nil
 	default:
 		l.Close()
-		return fault.New(fault.LinkLost, fault.StepLink, l.Peer.Name, "the peer does not read")
+		return fault.New(fault.LinkLost, fault.StepLink, l.Peer.Name, "the send queue is full: the peer does not read")
 	}
 }
 
-// Run moves messages until the link ends, and returns why it ended. Handle is
-// called for one message after the other.
+// Run sends and receives messages until the link ends, and returns the reason. It calls
+// handle for one message at a time.
 func (l *Link) Run(ctx context.Context, handle func(*Message)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -245,9 +245,9 @@
 	})
 }
 
-// Traffic is what has crossed a link, or several.
+// Traffic counts what was sent and received over one or several links.
 type Traffic struct {
-	// Sent and Received count payload bytes, Messages frames both ways.
+	// Sent and Received count payload bytes, Messages frames in both directions.
 	Sent, Received, Messages int64
 }
 
@@ -258,7 +258,7 @@
 	t.Messages += o.Messages
 }
 
-// Traffic returns what has crossed the link so far.
+// Traffic returns the link's traffic so far.
 func (l *Link) Traffic() Traffic {
 	return Traffic{Sent: l.sent.Load(), Received: l.received.Load(), Messages: l.messages.Load()}
 }
--- a/wire/message.go
+++ b/wire/message.go
@@ -63,7 +63,7 @@
 	Replicas *Replicas          `cbor:"34,keyasint,omitempty"`
 	Loads    *Loads             `cbor:"35,keyasint,omitempty"`
 	Use      *quota.UsageUpdate `cbor:"38,keyasint,omitempty"`
-	// Contents are those under which servers have ended.
+	// Contents are the request contents during which servers have crashed.
 	Contents []poison.Record `cbor:"39,keyasint,omitempty"`
 
 	Evacuated *Evacuated  `cbor:"40,keyasint,omitempty"`
@@ -71,28 +71,28 @@
 	Limits    *Limits     `cbor:"42,keyasint,omitempty"`
 }
 
-// Heartbeat shows life and renews the leases of the link's owner.
+// Heartbeat keeps the link alive and renews the leases of the link's owner.
 type Heartbeat struct {
 	Revision uint64          `cbor:"1,keyasint"`
 	Load     *placement.Load `cbor:"2,keyasint,omitempty"`
-	// Assets and Role tell what the engine has loaded and serves as; they are
-	// only sent when a link opens and when they change.
+	// Assets and Role are what the engine has loaded and the role that it serves; they
+	// are sent only when a link opens and when they change.
 	Assets []string `cbor:"3,keyasint,omitempty"`
 	Role   string   `cbor:"4,keyasint,omitempty"`
-	// Told tells that Assets and Role are there, though they may be empty.
+	// Told reports that Assets and Role are set, though they may be empty.
 	Told bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Reserve asks an agent for a slot, to be answered at once.
+// Reserve requests a slot from an agent, which answers at once.
 type Reserve struct {
 	lease.ID
 	Model    string `cbor:"3,keyasint"`
 	Priority int    `cbor:"4,keyasint"`
 	// Tokens is the prefill work that the slot is for; zero for decode.
 	Tokens int `cbor:"5,keyasint,omitempty"`
-	// Hold is how long the slot waits for its work.
+	// Hold is the time for which the slot is kept for its work.
 	Hold time.Duration `cbor:"6,keyasint"`
-	// Keep lets the work outlive its caller.
+	// Keep lets the work continue after its caller has disconnected.
 	Keep bool `cbor:"7,keyasint,omitempty"`
 }
 
@@ -104,13 +104,13 @@
 	Load   placement.Load `cbor:"5,keyasint"`
 }
 
-// Prefill starts the prefill that was reserved.
+// Prefill starts a reserved prefill.
 type Prefill struct {
 	lease.ID
 	Request engine.Request `cbor:"3,keyasint"`
 }
 
-// Prefilled tells that the KV cache can be fetched.
+// Prefilled reports that the KV cache can be fetched.
 type Prefilled struct {
 	lease.ID
 	KV     engine.KV      `cbor:"3,keyasint"`
@@ -119,7 +119,7 @@
 	Load   placement.Load `cbor:"6,keyasint"`
 }
 
-// Decode starts the decode that was reserved.
+// Decode starts a reserved decode.
 type Decode struct {
 	lease.ID
 	Request engine.Request `cbor:"3,keyasint"`
@@ -128,19 +128,19 @@
 	From int `cbor:"5,keyasint"`
 }
 
-// Imported tells that the decode engine has the KV cache.
+// Imported reports that the decode engine has imported the KV cache.
 type Imported struct {
 	lease.ID
 	Took time.Duration `cbor:"3,keyasint"`
 }
 
-// Chunk is a part of an answer.
+// Chunk is one chunk of an answer.
 type Chunk struct {
 	lease.ID
 	engine.Chunk
 }
 
-// Resume asks an agent, on a new link, for what became of an attempt: the
+// Resume asks an agent, over a new link, for the state of an attempt: the
 // chunks from an index on, or the result of its prefill.
 type Resume struct {
 	lease.ID
@@ -149,33 +149,33 @@
 	Keep   bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Failed tells that an attempt ended without its result.
+// Failed reports that an attempt ended without its result.
 type Failed struct {
 	lease.ID
 	Step   string `cbor:"3,keyasint"`
 	Code   string `cbor:"4,keyasint"`
 	Detail string `cbor:"5,keyasint"`
-	// Server tells that the server itself is at fault.
+	// Server reports that the server itself failed.
 	Server bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Cancel frees whatever the attempt holds at this agent.
+// Cancel frees all that the attempt occupies at this agent.
 type Cancel struct {
 	lease.ID
 }
 
-// Settings brings a tree, as a delta to the revision that the receiver has
-// or whole.
+// Settings carries a settings tree, either complete or as a delta to the revision that
+// the receiver has.
 type Settings struct {
 	Revision uint64          `cbor:"1,keyasint"`
 	Sum      settings.Sum    `cbor:"2,keyasint"`
 	Delta    *settings.Delta `cbor:"3,keyasint,omitempty"`
 	Whole    []byte          `cbor:"4,keyasint,omitempty"`
-	// Confirmed tells that control vouched for the revision under a live lease.
+	// Confirmed reports that control confirmed the revision under a live lease.
 	Confirmed bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Pull asks for the newest settings.
+// Pull requests the newest settings.
 type Pull struct {
 	Have uint64 `cbor:"1,keyasint"`
 }
@@ -188,14 +188,14 @@
 	Type   string        `cbor:"5,keyasint,omitempty"`
 	Body   []byte        `cbor:"6,keyasint,omitempty"`
 	Limit  time.Duration `cbor:"7,keyasint"`
-	// Once tells that the call may not be repeated.
+	// Once reports that the call must not be repeated.
 	Once bool `cbor:"8,keyasint,omitempty"`
 }
 
-// Answer ends a Call.
+// Answer is the result of a Call.
 type Answer struct {
 	lease.ID
-	// Sent tells whether the service may have seen the call.
+	// Sent reports whether the service may have received the call.
 	Sent   bool   `cbor:"3,keyasint"`
 	Status int    `cbor:"4,keyasint,omitempty"`
 	Type   string `cbor:"5,keyasint,omitempty"`
@@ -203,7 +203,7 @@
 	Detail string `cbor:"7,keyasint,omitempty"`
 }
 
-// Summary tells control, and other availability zones, what one zone has.
+// Summary reports the servers of one availability zone to control and to other zones.
 type Summary struct {
 	Zone    string        `cbor:"1,keyasint"`
 	Servers []ServerState `cbor:"2,keyasint"`
@@ -219,25 +219,25 @@
 	Role    string   `cbor:"6,keyasint,omitempty"`
 }
 
-// Leaving lists the servers that the platform's list shows as leaving.
+// Leaving lists the servers that the platform's list of VMs shows as leaving.
 type Leaving struct {
 	Servers []string `cbor:"1,keyasint"`
 }
 
-// Zones tells entries which availability zones have room, so that one whose
-// own zone is short can spill to another.
+// Zones reports to entries which availability zones have free slots, so that one whose
+// own zone is full can use another.
 type Zones struct {
 	Free []ZoneFree `cbor:"1,keyasint"`
 }
 
-// ZoneFree is the room of one zone: free slots by model and role.
+// ZoneFree is the free capacity of one zone: free slots by model and role.
 type ZoneFree struct {
 	Zone    string         `cbor:"1,keyasint"`
 	Prefill map[string]int `cbor:"2,keyasint,omitempty"`
 	Decode  map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Shares asks upstream for units of customers' limits.
+// Shares requests units of customers' limits from the issuer of the quota.
 type Shares struct {
 	Asks []quota.Ask `cbor:"1,keyasint"`
 }
@@ -247,51 +247,51 @@
 	Grants []quota.Grant `cbor:"1,keyasint"`
 }
 
-// Register tells the home agent of a caller's key which request has it now.
+// Register notifies the home agent of a caller's key which request holds the key now.
 type Register struct {
 	Key string `cbor:"1,keyasint"`
 	Req string `cbor:"2,keyasint"`
 }
 
-// Registered tells that the home agent has taken a Register.
+// Registered confirms a Register.
 type Registered struct {
 	Req string `cbor:"1,keyasint"`
 }
 
-// Recorded tells that a voter has taken the Record of an attempt.
+// Recorded reports that a voter has stored the Record of an attempt.
 type Recorded struct {
 	Attempt string `cbor:"1,keyasint"`
 }
 
-// Superseded tells an entry that a newer request has the key of one of its own.
+// Superseded notifies an entry that a newer request holds the key of one of its own.
 type Superseded struct {
 	Req string `cbor:"1,keyasint"`
 }
 
-// Routes brings a routing table that is committed, or tells that there is a newer one.
-// From a gateway it asks for a table above Version.
+// Routes carries a committed routing table, or reports that there is a newer one.
+// From a gateway it requests a table above Version.
 type Routes struct {
 	Table *route.Table `cbor:"1,keyasint,omitempty"`
-	// Version is the newest version that the sender knows.
+	// Version is the newest version that the sender has seen.
 	Version uint64 `cbor:"2,keyasint"`
-	// Confirmed tells that the sender vouches that no newer one is accepted.
+	// Confirmed reports that the sender guarantees that no newer table is accepted.
 	Confirmed bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Servers brings reports of backend servers.
+// Servers carries reports of backend servers.
 type Servers struct {
 	List []registry.Server `cbor:"1,keyasint"`
-	// Away are engines that are changing their role.
+	// Away are the engines that are changing their role.
 	Away []Away `cbor:"2,keyasint,omitempty"`
-	// Alive tells that the servers that the sender has told of as ready over this
-	// link have reported themselves within the time For, but for those in Silent. A
-	// list of exceptions keeps the bytes level while the number of servers grows.
+	// Alive reports that all servers that the sender has reported as ready over this link
+	// have reported themselves within the time For, except those in Silent. With a list of
+	// exceptions, the size of the message does not grow with the number of servers.
 	Alive  bool          `cbor:"3,keyasint,omitempty"`
 	For    time.Duration `cbor:"4,keyasint,omitempty"`
 	Silent []string      `cbor:"6,keyasint,omitempty"`
-	// Dropped are servers of which the sender tells no more.
+	// Dropped are the servers about which the sender sends no more updates.
 	Dropped []string `cbor:"7,keyasint,omitempty"`
-	// Sizes are the numbers of servers of all groups.
+	// Sizes are the sizes of all groups of servers.
 	Sizes []GroupSize `cbor:"5,keyasint,omitempty"`
 }
 
@@ -302,74 +302,73 @@
 	Size    int    `cbor:"3,keyasint"`
 }
 
-// Away is an engine that takes no requests until it has another role.
+// Away is an engine that accepts no requests until it has changed its role.
 type Away struct {
 	Server string `cbor:"1,keyasint"`
 	Role   string `cbor:"2,keyasint"`
-	// For is the least time that it takes.
+	// For is the minimum duration of the change.
 	For time.Duration `cbor:"3,keyasint"`
 }
 
-// Replicas tells the link addresses of all control replicas.
+// Replicas lists the link addresses of all control replicas.
 type Replicas struct {
 	Addresses []string `cbor:"1,keyasint"`
 	// Gateways is the number of gateways that have a link to the sender.
 	Gateways int `cbor:"2,keyasint"`
-	// Leader is the link address of the leader as the sender knows it.
+	// Leader is the link address of the leader that the sender knows.
 	Leader string `cbor:"3,keyasint,omitempty"`
-	// Cut tells that the sender has no link to most of the other replicas.
+	// Cut reports that the sender has no link to a majority of the other replicas.
 	Cut bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Loads tells what gateways have reserved at engines, so that each of them
-// knows what the others use. A gateway tells one replica all that it has reserved.
-// A replica tells the others the sums of its own gateways, and each of its own
-// gateways the sums of all others, both where they have changed.
+// Loads reports what gateways have reserved at engines, so that each gateway has the
+// others' load. A gateway reports all of its reservations to one replica. A replica sends the
+// sums of its own gateways to the other replicas, and to each of its own gateways the sums of
+// all other gateways; both only where they have changed.
 type Loads struct {
 	List []EngineLoad `cbor:"1,keyasint"`
 	// Gateways is the number of gateways whose loads are in the sums.
 	Gateways int `cbor:"2,keyasint,omitempty"`
-	// Ended tells that the sender tells another replica from now on.
+	// Ended reports that the sender reports to another replica from now on.
 	Ended bool `cbor:"3,keyasint,omitempty"`
-	// Queued are the requests that wait for room at an engine: a gateway's own, or
-	// those of the gateways in the sums.
+	// Queued is the number of requests that wait for capacity at an engine: a gateway's own,
+	// or those of the gateways in the sums.
 	Queued int `cbor:"4,keyasint,omitempty"`
-	// Whole tells that engines that are not listed have no reservations.
+	// Whole reports that engines that are not listed have no reservations.
 	Whole bool `cbor:"5,keyasint,omitempty"`
 }
 
-// EngineLoad is what one gateway, or several together, have reserved at one
-// engine.
+// EngineLoad is what one or several gateways have reserved at one engine.
 type EngineLoad struct {
 	Server string `cbor:"1,keyasint"`
-	// Tokens are reserved tokens of KV cache.
+	// Tokens are the reserved tokens of KV cache.
 	Tokens int `cbor:"2,keyasint,omitempty"`
-	// Prefill are prompt tokens that wait to be read.
+	// Prefill are the prompt tokens that wait for prefill.
 	Prefill int `cbor:"3,keyasint,omitempty"`
-	// Runs are the requests that run.
+	// Runs is the number of running requests.
 	Runs int `cbor:"4,keyasint,omitempty"`
-	// Held are the tokens of KV cache that the runs have now.
+	// Held are the tokens of KV cache that the running requests occupy now.
 	Held int `cbor:"5,keyasint,omitempty"`
-	// Good and Bad are the requests to the server that went well and that failed of
-	// late, Witnesses the gateways at which some failed.
+	// Good and Bad are the recent requests to the server that succeeded and that failed,
+	// Witnesses the gateways at which some failed.
 	Good      int `cbor:"6,keyasint,omitempty"`
 	Bad       int `cbor:"7,keyasint,omitempty"`
 	Witnesses int `cbor:"8,keyasint,omitempty"`
 }
 
-// Evacuated tells which availability zones get no new work.
+// Evacuated lists the availability zones that get no new work.
 type Evacuated struct {
-	// Number rises with each change, so that an earlier report never undoes a later one.
+	// Number rises with each change, so that an earlier message never reverts a later one.
 	Number uint64                `cbor:"1,keyasint,omitempty"`
 	Zones  []fleet.EvacuatedZone `cbor:"2,keyasint,omitempty"`
 }
 
-// ColdLease lets a gateway send requests to a server that is cold; nobody else with a lease
-// of the same replica does.
+// ColdLease allows a gateway to send requests to a cold server; no other gateway with a lease
+// of the same replica may do so.
 type ColdLease struct {
 	Server string `cbor:"1,keyasint,omitempty"`
-	// Most is how many requests it may send in any second.
+	// Most is the maximum number of requests in any second.
 	Most int `cbor:"2,keyasint,omitempty"`
-	// For is how long the lease holds from its arrival on.
+	// For is the duration of the lease from its arrival on.
 	For time.Duration `cbor:"3,keyasint,omitempty"`
 }
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -13,7 +13,7 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// side tells who opened a link, for the metric.
+// side is the end that opened a link, as a label of the metric.
 type side string
 
 const (
@@ -21,27 +21,27 @@
 	accepted side = "accepted"
 )
 
-// Bounds of the lines about refused links: whoever finds the port decides how many there are.
+// Bounds of the log lines about refused links: anyone who can reach the port can cause them.
 const (
-	// badInterval is the least time between two lines about one bad peer, and maxBadLines the peers
-	// of which lines are written in that time: a line a second on average.
+	// badInterval is the minimum time between two lines about one bad peer, and maxBadLines the
+	// maximum number of peers logged in that time: one line per second on average.
 	badInterval = 10 * time.Second
 	maxBadLines = 10
-	// maxMismatchLines is the same of peers whose versions are apart, of which a line is written
-	// once: the gateways of a large site within some times of badInterval.
+	// maxMismatchLines is the same for peers with incompatible versions, each of which is logged
+	// only once: it covers the gateways of a large site within a few intervals.
 	maxMismatchLines = 64
-	// maxLoggedPeers bounds the peers and ranges that are remembered as told: some per process of
-	// the largest site. Beyond, the oldest is forgotten, and told again if it comes.
+	// maxLoggedPeers bounds the remembered peers and ranges: several per process of the largest
+	// site. Beyond that the oldest is forgotten, and logged again if it returns.
 	maxLoggedPeers = 4096
-	// maxKeyName is how much of a peer's name tells it apart from others of its host.
+	// maxKeyName is the prefix of a peer's name that distinguishes it from others of its host.
 	maxKeyName = 64
 )
 
-// refusals counts and tells of links that were not opened for what the peer said first. The
-// zero value is ready.
+// refusals counts and logs links that were refused because of the peer's first frame. The
+// zero value is ready to use.
 type refusals struct {
 	mu sync.Mutex
-	// logged are the peers and ranges that a line was written of, order the same in their order.
+	// logged are the peers and ranges that were logged, order the same by age.
 	logged map[string]bool
 	order  []string
 
@@ -49,7 +49,7 @@
 	mismatch, bad event.Limiter
 }
 
-// record takes an error of opening a link.
+// record counts and logs an error of opening a link.
 func (r *refusals) record(log *slog.Logger, now time.Time, s side, addr string, err error) {
 	f := fault.From(err)
 	if f.Code != fault.VersionsApart && f.Code != fault.BadPeer {
@@ -69,15 +69,15 @@
 	}
 	key := addr
 	if s == accepted {
-		key = host(addr) // its port is another each time
+		key = host(addr) // its port differs each time
 	}
 	if r.bad.Allow(now, key) {
 		event.BadPeer.Log(log, "peer", addr, "error", f)
 	}
 }
 
-// firstTime tells whether a line of this peer and range is to be written: once, and as often as
-// lines of bad peers if somebody comes with ever new ranges.
+// firstTime reports whether this peer and range is to be logged: once, and limited by the
+// rate for mismatches, since a peer may present ever new ranges.
 func (r *refusals) firstTime(now time.Time, key string) bool {
 	r.mu.Lock()
 	logged := r.logged[key]
@@ -99,8 +99,8 @@
 	return true
 }
 
-// peerKey tells peers and their ranges apart. Whoever opened a link has another port each
-// time, and the name says which process of the host it is.
+// peerKey returns a key for a peer and its range. The port of an accepted peer differs each
+// time, so its name distinguishes the processes of a host.
 func peerKey(s side, addr string, a *VersionError) string {
 	if s == accepted {
 		addr = host(addr) + " " + a.Name[:min(len(a.Name), maxKeyName)]
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -12,7 +12,7 @@
 )
 
 // Handler serves links: it checks the peer's token and its Hello, and calls
-// serve, which must run the link to its end.
+// serve, which must run the link until it ends.
 func Handler(log *slog.Logger, o Options, serve func(*Link)) http.Handler {
 	o.Log = log
 	refused, unauthorized := &refusals{}, &event.Limiter{Every: badInterval, Most: maxBadLines}
@@ -34,8 +34,8 @@
 	})
 }
 
-// TokenOK tells whether a request carries the token; an empty token lets
-// everybody in.
+// TokenOK reports whether a request carries the token; an empty token accepts every
+// request.
 func TokenOK(r *http.Request, token string) bool {
 	if token == "" {
 		return true
--- a/wire/unknown.go
+++ b/wire/unknown.go
@@ -10,18 +10,18 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// A later build may say kinds of messages, and fields in them, that this one does not know.
-// They are passed over, and each link tells of each kind once.
+// A later build may send kinds of messages, and fields in them, that this one does not
+// support. They are skipped, and each link logs each kind once.
 //
-// The decoder finds out at no cost as long as all is known: it can fail at the first field
-// that has no place, and decodes no slower for it. The frame is then decoded again by the
-// mode that passes over, and that mode is used for the kind from then on, so that a later
-// build costs a second decode for each kind, not for each message.
+// While all fields are known this costs nothing: the strict mode, which fails at the first
+// unknown field, decodes as fast as the other. When it fails, the frame is decoded again by
+// the mode that skips unknown fields. That mode is then used for all messages of the kind, so
+// that a later build costs a second decoding per kind, not per message.
 
-// maxKinds bounds the kinds of messages that are told apart by number.
+// maxKinds bounds the kinds of messages that are distinguished by number.
 const maxKinds = 256
 
-// otherKind stands for kinds whose number is not told apart; no kind has it.
+// otherKind stands for all kinds with higher numbers; no kind has this number.
 const otherKind = 0
 
 // strictMode fails at a field that the message does not have.
@@ -29,12 +29,12 @@
 
 // reader decodes the frames of one link. It is used by one goroutine at a time.
 type reader struct {
-	// lenient are the kinds in which an unknown field has been met.
+	// lenient are the kinds in which an unknown field has been seen.
 	lenient [maxKinds]bool
 }
 
-// read decodes a frame from peer; it reports the kind of the frame and whether that shows
-// its first unknown field.
+// read decodes a frame from peer; it returns the kind of the frame, and whether the frame has
+// the first unknown field of its kind.
 func (r *reader) read(frame []byte, peer string) (m *Message, kind int, firstUnknown bool, err error) {
 	kind = kindOf(frame)
 	if !r.lenient[kind] {
@@ -52,9 +52,9 @@
 	return m, kind, firstUnknown, err
 }
 
-// kindOf returns the number of the one field that a frame has, as every build writes it.
+// kindOf returns the number of the only field of a frame; every build writes one field.
 func kindOf(frame []byte) int {
-	const oneField, oneByte = 0xa1, 0x18 // CBOR's heads of a map of one, and of a number of one byte
+	const oneField, oneByte = 0xa1, 0x18 // CBOR headers: a map with one entry, a one-byte number
 	switch {
 	case len(frame) < 3 || frame[0] != oneField:
 		return otherKind
@@ -66,7 +66,7 @@
 	return otherKind
 }
 
-// kindName names a kind for people: by its field, or by its number.
+// kindName returns the name of a kind for logs: the name of its field, or its number.
 func kindName(kind int) string {
 	if name := kindNames[kind]; name != "" {
 		return name
@@ -77,7 +77,7 @@
 	return strconv.Itoa(kind)
 }
 
-// decode reads a frame, and tells of an unknown field.
+// decode reads a frame, and logs and counts an unknown field.
 func (l *Link) decode(frame []byte, peer string) (*Message, error) {
 	m, kind, firstUnknown, err := l.reader.read(frame, peer)
 	if firstUnknown {
