--- a/backend/conn.go
+++ b/backend/conn.go
@@ -25,9 +25,9 @@
 	// userTimeout is how long sent bytes may stay without an answer of the
 	// other side's kernel before the connection counts as broken.
 	userTimeout = 1500 * time.Millisecond
-	// defaultIdle is how long an idle connection is kept if the server does not
+	// defaultIdleTTL is how long an idle connection is kept if the server does not
 	// say how long it keeps it.
-	defaultIdle = 800 * time.Millisecond
+	defaultIdleTTL = 800 * time.Millisecond
 	// idleMargin is taken off the server's Keep-Alive, so that the server never
 	// closes a connection on which a request is on its way.
 	idleMargin = 700 * time.Millisecond
@@ -40,25 +40,25 @@
 	reader *bufio.Reader
 	// idleUntil is when the connection must not be used any more.
 	idleUntil time.Time
-	// carried are the IDs of its requests. A server may answer one of them a second
+	// requestIDs are the IDs of its requests. A server may answer one of them a second
 	// time, late, where the answer to the newest is due: only another ID tells them
 	// apart. By the late refusal of one send a run was taken for another, and its caller
 	// got 88 of 200 events twice.
-	carried []string
-	// single tells that the connection is not kept.
-	single bool
-	// called tells that it has carried a call without an ID, whose late second answer names
+	requestIDs []string
+	// noReuse tells that the connection is not kept.
+	noReuse bool
+	// sentCall tells that it has carried a call without an ID, whose late second answer names
 	// nothing either. Only requests with IDs follow, so that it can be told and passed over.
-	called bool
+	sentCall bool
 }
 
-// maxCarried bounds the IDs that a connection remembers; after as many requests another
+// maxRequestIDs bounds the IDs that a connection remembers; after as many requests another
 // one is opened, which one in 64 requests pays for.
-const maxCarried = 64
+const maxRequestIDs = 64
 
-// mayCarry tells whether a request's answer can be told from those to all before it.
-func (c *conn) mayCarry(r *Request) bool {
-	return !r.alone() && len(c.carried) < maxCarried && !slices.Contains(c.carried, r.ID)
+// canCarry tells whether a request's answer can be told from those to all before it.
+func (c *conn) canCarry(r *Request) bool {
+	return !r.needsUnused() && len(c.requestIDs) < maxRequestIDs && !slices.Contains(c.requestIDs, r.ID)
 }
 
 var dialer = sock.Dialer(DialTimeout, userTimeout)
@@ -71,9 +71,9 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// quiet tells whether nothing has arrived on an idle connection: neither its
+// isQuiet tells whether nothing has arrived on an idle connection: neither its
 // end nor bytes that belong to no request.
-func (c *conn) quiet() bool {
+func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -95,21 +95,21 @@
 	return err == nil && quiet
 }
 
-// takeTime is how long a server that has too many connections needs to reset a
+// resetTime is how long a server that has too many connections needs to reset a
 // new one.
-const takeTime = 1500 * time.Microsecond
+const resetTime = 1500 * time.Microsecond
 
-// taken tells whether a server keeps a new connection. A request that is sent
+// wasAccepted tells whether a server keeps a new connection. A request that is sent
 // on one that is reset may have run, as far as one can know; one that was not
 // sent has not.
-func (c *conn) taken() bool {
-	time.Sleep(takeTime)
-	return c.quiet()
+func (c *conn) wasAccepted() bool {
+	time.Sleep(resetTime)
+	return c.isQuiet()
 }
 
-// keepFor returns how long a connection may rest after an answer; zero if it
+// idleTTL returns how long a connection may rest after an answer; zero if it
 // must be closed.
-func keepFor(resp *http.Response) time.Duration {
+func idleTTL(resp *http.Response) time.Duration {
 	if resp.Close {
 		return 0
 	}
@@ -126,5 +126,5 @@
 			return max(time.Duration(seconds)*time.Second-idleMargin, 0)
 		}
 	}
-	return defaultIdle
+	return defaultIdleTTL
 }
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -39,10 +39,10 @@
 	NewConnection bool
 }
 
-// alone tells that a request has no connection that was used before: an answer to a call
+// needsUnused tells that a request has no connection that was used before: an answer to a call
 // without an ID names nothing, and one to another request would be read by the rules of a HEAD,
 // whose answers have no body.
-func (r *Request) alone() bool { return r.ID == "" || r.Method == http.MethodHead }
+func (r *Request) needsUnused() bool { return r.ID == "" || r.Method == http.MethodHead }
 
 // Error is a request that got no answer.
 type Error struct {
@@ -88,20 +88,20 @@
 	// of another one is that of its connection, whatever the reason.
 	Framed bool
 
-	pool    *Pool
-	request Request
-	conn    *conn
-	body    io.ReadCloser
-	keep    time.Duration
-	stop    func() bool
-	written chan struct{}
-	once    sync.Once
-	whole   bool
+	pool     *Pool
+	request  Request
+	conn     *conn
+	body     io.ReadCloser
+	keep     time.Duration
+	stop     func() bool
+	written  chan struct{}
+	once     sync.Once
+	complete bool
 }
 
-// maxForeign bounds the answers to other requests that are passed over on one
+// maxOtherAnswers bounds the answers to other requests that are passed over on one
 // connection.
-const maxForeign = 8
+const maxOtherAnswers = 8
 
 // Do sends a request once and returns the head of its answer. The context
 // bounds the whole exchange, the body included.
@@ -118,8 +118,8 @@
 	if err != nil {
 		return nil, &Error{Cause: err, Refused: !errors.Is(err, ErrFull)}
 	}
-	c.carried = append(c.carried, r.ID)
-	p.begin(r.Server, c)
+	c.requestIDs = append(c.requestIDs, r.ID)
+	p.markBusy(r.Server, c)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = c.SetDeadline(deadline)
@@ -128,7 +128,7 @@
 	sent := clock.VM.Now()
 	resp, err := a.exchange(headers)
 	if err != nil {
-		if len(c.carried) > 1 && (isTimeout(err) || errors.Is(ctx.Err(), context.DeadlineExceeded)) {
+		if len(c.requestIDs) > 1 && (isTimeout(err) || errors.Is(ctx.Err(), context.DeadlineExceeded)) {
 			// Kept connections may have gone silent together, while new ones work.
 			p.CloseIdle(r.Address)
 		}
@@ -140,7 +140,7 @@
 	}
 	a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
 	a.Framed = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	a.body, a.keep = resp.Body, keepFor(resp)
+	a.body, a.keep = resp.Body, idleTTL(resp)
 	return a, nil
 }
 
@@ -150,14 +150,14 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// smallBody is a body that fits the windows of any connection, so that it can
+// smallBodyBytes is a body that fits the windows of any connection, so that it can
 // be written before the answer is read.
-const smallBody = 8 << 10
+const smallBodyBytes = 8 << 10
 
 func (a *Answer) exchange(headers *Headers) (*http.Response, error) {
 	head := a.request.head()
-	a.conn.single = a.request.Method == http.MethodHead
-	if len(a.request.Body) <= smallBody {
+	a.conn.noReuse = a.request.Method == http.MethodHead
+	if len(a.request.Body) <= smallBodyBytes {
 		close(a.written)
 		if _, err := a.conn.Write(append(head, a.request.Body...)); err != nil {
 			return nil, err
@@ -175,15 +175,15 @@
 	return a.read(headers)
 }
 
-// errNameless tells that a server that gives IDs back sent an answer without one.
-var errNameless = errors.New("an answer that names no request")
+// errNoRequestID tells that a server that gives IDs back sent an answer without one.
+var errNoRequestID = errors.New("an answer that names no request")
 
 // read returns the answer to this request and passes over those to others that
 // a server sent in its place.
 func (a *Answer) read(headers *Headers) (*http.Response, error) {
-	asked := &http.Request{Method: a.request.Method}
-	for range maxForeign {
-		resp, err := http.ReadResponse(a.conn.reader, asked)
+	request := &http.Request{Method: a.request.Method}
+	for range maxOtherAnswers {
+		resp, err := http.ReadResponse(a.conn.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -192,28 +192,28 @@
 		}
 		id := resp.Header.Get(headers.RequestID)
 		switch {
-		case len(a.conn.carried) == 1 && a.request.ID == "":
+		case len(a.conn.requestIDs) == 1 && a.request.ID == "":
 			// What comes next must be told from its late second answer.
-			a.conn.called = true
-			a.conn.single = a.conn.single || id != "" || !a.pool.names(a.request.Server)
+			a.conn.sentCall = true
+			a.conn.noReuse = a.conn.noReuse || id != "" || !a.pool.echoesIDs(a.request.Server)
 			return resp, nil
-		case len(a.conn.carried) == 1 && id == "":
+		case len(a.conn.requestIDs) == 1 && id == "":
 			// Its late second answer could not be told from that to what comes next.
-			a.conn.single = true
+			a.conn.noReuse = true
 			return resp, nil
-		case id == "" && a.conn.called:
+		case id == "" && a.conn.sentCall:
 			// The server names what it answers, but for the call.
-			a.conn.called = false
+			a.conn.sentCall = false
 		case id == "":
 			// All earlier answers on this connection named their requests. Whose this is
 			// can't be told: a "not run" that was another's had a request run twice.
-			return nil, errNameless
+			return nil, errNoRequestID
 		}
 		if id != "" && id == a.request.ID {
-			a.pool.named(a.request.Server)
+			a.pool.recordEcho(a.request.Server)
 			return resp, nil
 		}
-		a.conn.single = true // out of step
+		a.conn.noReuse = true // out of step
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
@@ -248,7 +248,7 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 		a.finish(true)
 	}
 	return n, err
@@ -273,20 +273,20 @@
 
 // Close ends the exchange. A connection whose answer was not read to its end
 // is closed, which tells the server that nobody waits any more.
-func (a *Answer) Close() { a.finish(a.whole) }
+func (a *Answer) Close() { a.finish(a.complete) }
 
 // finish gives the connection back once.
-func (a *Answer) finish(whole bool) {
+func (a *Answer) finish(complete bool) {
 	a.once.Do(func() {
-		a.pool.end(a.request.Server, a.conn)
-		undisturbed := a.stop()
+		a.pool.markIdle(a.request.Server, a.conn)
+		notCancelled := a.stop()
 		sent := false
 		select {
 		case <-a.written:
 			sent = true
 		default:
 		}
-		if whole && undisturbed && sent && !a.conn.single && a.conn.reader.Buffered() == 0 {
+		if complete && notCancelled && sent && !a.conn.noReuse && a.conn.reader.Buffered() == 0 {
 			a.pool.put(a.request.Address, a.conn, a.keep)
 			return
 		}
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -19,9 +19,9 @@
 	open map[string]int
 	// busy are the connections with a request, by the start of their server.
 	busy map[string]map[*conn]bool
-	// naming is when each start of a server has given an ID back last.
-	naming map[string]time.Time
-	closed bool
+	// lastEcho is when each start of a server has given an ID back last.
+	lastEcho map[string]time.Time
+	closed   bool
 	// OnConnect, if set, is told how long the opening of a connection to a start of a server
 	// took.
 	OnConnect func(server string, took time.Duration)
@@ -35,7 +35,7 @@
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, busy: map[string]map[*conn]bool{}, naming: map[string]time.Time{}}
+	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, busy: map[string]map[*conn]bool{}, lastEcho: map[string]time.Time{}}
 }
 
 // ErrFull tells that the gateway has as many connections to the server as it
@@ -72,7 +72,7 @@
 	switch {
 	case r.NewConnection:
 		return causeOnce
-	case r.alone():
+	case r.needsUnused():
 		return causeNoID
 	case len(p.idle[r.Address]) > 0:
 		return causeSameID
@@ -88,7 +88,7 @@
 		}
 	}
 	cause := p.cause(r)
-	if !p.mayOpen(r) {
+	if !p.reserveConnection(r) {
 		if c := p.takeIdle(r); c != nil {
 			return c, nil
 		}
@@ -104,20 +104,20 @@
 		p.OnConnect(r.Server, clock.VM.Now().Sub(started))
 	}
 	metric.Connections.WithLabelValues(cause).Inc()
-	if r.NewConnection && !c.taken() {
+	if r.NewConnection && !c.wasAccepted() {
 		p.drop(r.Address, c)
-		return nil, errNotTaken
+		return nil, errNotAccepted
 	}
 	return c, nil
 }
 
-// mayOpen counts a connection more to a server, if there may be one. An idle one that may
+// reserveConnection counts a connection more to a server, if there may be one. An idle one that may
 // not carry the request gives way.
-func (p *Pool) mayOpen(r *Request) bool {
+func (p *Pool) reserveConnection(r *Request) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	full := r.MaxConnections > 0 && p.open[r.Address] >= r.MaxConnections
-	if idle := p.idle[r.Address]; full && len(idle) > 0 && (r.NewConnection || !idle[0].mayCarry(r)) {
+	if idle := p.idle[r.Address]; full && len(idle) > 0 && (r.NewConnection || !idle[0].canCarry(r)) {
 		p.idle[r.Address] = idle[1:]
 		p.open[r.Address]--
 		_ = idle[0].Close()
@@ -129,28 +129,28 @@
 	return !full
 }
 
-// errNotTaken tells that a server closed a new connection before anything was
+// errNotAccepted tells that a server closed a new connection before anything was
 // sent, as it does when it has too many.
-var errNotTaken = errors.New("backend: the server closed the new connection")
+var errNotAccepted = errors.New("backend: the server closed the new connection")
 
-// namingFor is how long it counts that a server has given an ID back.
-const namingFor = 10 * time.Minute
+// echoTTL is how long it counts that a server has given an ID back.
+const echoTTL = 10 * time.Minute
 
-// named notes that a start of a server has given an ID back, names tells whether it has.
-func (p *Pool) named(server string) {
+// recordEcho notes that a start of a server has given an ID back, names tells whether it has.
+func (p *Pool) recordEcho(server string) {
 	if server == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.naming[server] = clock.VM.Now()
+	p.lastEcho[server] = clock.VM.Now()
 }
 
-func (p *Pool) names(server string) bool {
+func (p *Pool) echoesIDs(server string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, ok := p.naming[server]
-	return ok && clock.VM.Now().Sub(at) < namingFor
+	at, ok := p.lastEcho[server]
+	return ok && clock.VM.Now().Sub(at) < echoTTL
 }
 
 // Probe opens a connection to a server and closes it again, which tells whether the server
@@ -168,24 +168,24 @@
 func (p *Pool) takeIdle(r *Request) *conn {
 	now := clock.VM.Now()
 	for {
-		c := p.popIdle(r)
+		c := p.takeLastIdle(r)
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.idleUntil) && c.quiet() {
+		if now.Before(c.idleUntil) && c.isQuiet() {
 			return c
 		}
 		p.drop(r.Address, c)
 	}
 }
 
-// popIdle takes the connection that was used last and may carry a request.
-func (p *Pool) popIdle(r *Request) *conn {
+// takeLastIdle takes the connection that was used last and may carry a request.
+func (p *Pool) takeLastIdle(r *Request) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[r.Address]
 	for i := len(list) - 1; i >= 0; i-- {
-		if c := list[i]; c.mayCarry(r) {
+		if c := list[i]; c.canCarry(r) {
 			p.idle[r.Address] = slices.Delete(list, i, i+1)
 			return c
 		}
@@ -198,7 +198,7 @@
 	c.idleUntil = clock.VM.Now().Add(keep)
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
-	if p.closed || keep <= 0 || len(c.carried) >= maxCarried {
+	if p.closed || keep <= 0 || len(c.requestIDs) >= maxRequestIDs {
 		p.mu.Unlock()
 		p.drop(address, c)
 		return
@@ -224,9 +224,9 @@
 // Sweep closes idle connections whose time is over.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	for server, at := range p.naming {
-		if now.Sub(at) >= namingFor {
-			delete(p.naming, server)
+	for server, at := range p.lastEcho {
+		if now.Sub(at) >= echoTTL {
+			delete(p.lastEcho, server)
 		}
 	}
 	var old []*conn
@@ -261,8 +261,8 @@
 	}
 }
 
-// begin notes that a connection has a request to a server, end that it has none any more.
-func (p *Pool) begin(server string, c *conn) {
+// markBusy notes that a connection has a request to a server, end that it has none any more.
+func (p *Pool) markBusy(server string, c *conn) {
 	if server == "" {
 		return
 	}
@@ -274,7 +274,7 @@
 	p.busy[server][c] = true
 }
 
-func (p *Pool) end(server string, c *conn) {
+func (p *Pool) markIdle(server string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy[server], c)
--- a/backend/selfreport.go
+++ b/backend/selfreport.go
@@ -16,8 +16,8 @@
 	field selfreport.Field
 	// name returns the field's name; empty if servers do not have it.
 	name func(p *Protocol) string
-	// on tells whether the field means anything in an answer with a status; nil for all.
-	on func(status int) bool
+	// applies tells whether the field means anything in an answer with a status; nil for all.
+	applies func(status int) bool
 	// read puts the values into the report; false if they can't be read.
 	read func(p *Protocol, values []string, head http.Header, to *selfreport.Report) bool
 }
@@ -25,7 +25,7 @@
 // fieldReaders are what gateways read of servers, each once for every answer.
 var fieldReaders = []fieldReader{
 	{field: selfreport.Limit, name: limitName, read: readLimit},
-	{field: selfreport.RetryAfter, name: retryAfterName, on: turnsAway, read: readRetryAfter},
+	{field: selfreport.RetryAfter, name: retryAfterName, applies: isOverload, read: readRetryAfter},
 	{field: selfreport.Leaving, name: leavingName, read: readLeaving},
 	{field: selfreport.Cold, name: coldName, read: readCold},
 }
@@ -36,7 +36,7 @@
 	for i := range fieldReaders {
 		r := &fieldReaders[i]
 		name := r.name(p)
-		if name == "" || r.on != nil && !r.on(status) {
+		if name == "" || r.applies != nil && !r.applies(status) {
 			continue
 		}
 		values := head.Values(name)
@@ -65,14 +65,14 @@
 // retryAfterName returns the name in RFC 9110, section 10.2.3.
 func retryAfterName(*Protocol) string { return "Retry-After" }
 
-// turnsAway tells whether an answer with a status turns a request away for the server's load.
+// isOverload tells whether an answer with a status turns a request away for the server's load.
 // Retry-After means something else in a redirect.
-func turnsAway(status int) bool {
+func isOverload(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
 func readRetryAfter(_ *Protocol, values []string, head http.Header, to *selfreport.Report) bool {
-	if !same(values) {
+	if !allEqual(values) {
 		return false
 	}
 	text := strings.TrimSpace(values[0])
@@ -108,7 +108,7 @@
 // readLeaving reads 1 for a server that leaves, and 0 for one that does not.
 func readLeaving(_ *Protocol, values []string, _ http.Header, to *selfreport.Report) bool {
 	text := strings.TrimSpace(values[0])
-	if !same(values) || text != "0" && text != "1" {
+	if !allEqual(values) || text != "0" && text != "1" {
 		return false
 	}
 	to.Leaving = text == "1"
@@ -124,14 +124,14 @@
 
 func readCold(p *Protocol, values []string, _ http.Header, to *selfreport.Report) bool {
 	d, ok := p.ParseCold(values[0])
-	if !ok || !same(values) {
+	if !ok || !allEqual(values) {
 		return false
 	}
 	to.Cold = &d
 	return true
 }
 
-// same tells whether all values of a field say the same.
-func same(values []string) bool {
+// allEqual tells whether all values of a field say the allEqual.
+func allEqual(values []string) bool {
 	return !slices.ContainsFunc(values, func(v string) bool { return strings.TrimSpace(v) != strings.TrimSpace(values[0]) })
 }
