--- a/backend/answer_fuzz_test.go
+++ b/backend/answer_fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/ledgepin/ledgepin/backend"
 )
 
-// FuzzAnswer feeds the reader of servers' answers any bytes: a request never gets the answer
-// that names another, and ends when the server closes.
+// FuzzAnswer feeds arbitrary bytes to the reader of servers' answers: a request must never
+// get an answer that names another request, and must end when the server closes.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		completeAnswer("1", "", "b"), completeAnswer("2", "", "c") + completeAnswer("1", "Keep-Alive: timeout=5\r\n", "b"), "HTTP/1.1 100 Continue\r\n\r\n" + completeAnswer("1", "", "b"),
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -17,19 +17,19 @@
 	"github.com/ledgepin/ledgepin/internal/sock"
 )
 
-// Times of connections.
+// Timeouts of connections.
 const (
-	// DialTimeout bounds the opening of a connection; servers are some
+	// DialTimeout bounds the opening of a connection; servers are a few
 	// milliseconds away.
 	DialTimeout = 300 * time.Millisecond
-	// userTimeout is how long sent bytes may stay without an answer of the
-	// other side's kernel before the connection counts as broken.
+	// userTimeout is the time after which a connection with unacknowledged bytes counts as
+	// broken.
 	userTimeout = 1500 * time.Millisecond
 	// defaultIdleTTL is how long an idle connection is kept if the server does not
-	// say how long it keeps it.
+	// send a Keep-Alive time.
 	defaultIdleTTL = 800 * time.Millisecond
-	// idleMargin is taken off the server's Keep-Alive, so that the server never
-	// closes a connection on which a request is on its way.
+	// idleMargin is subtracted from the server's Keep-Alive time, so that the server
+	// never closes a connection on which a request is on its way.
 	idleMargin = 700 * time.Millisecond
 	readBuffer = 8 << 10
 )
@@ -38,25 +38,26 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleUntil is when the connection must not be used any more.
+	// idleUntil is the time from which the connection must not be used again.
 	idleUntil time.Time
-	// requestIDs are the IDs of its requests. A server may answer one of them a second
-	// time, late, where the answer to the newest is due: only another ID tells them
-	// apart. By the late refusal of one send a run was taken for another, and its caller
-	// got 88 of 200 events twice.
+	// requestIDs are the IDs of the requests sent so far. A server may answer one of them a
+	// second time, late, where the answer to the newest request is due: only an ID that the
+	// connection has not carried distinguishes them. A late refusal of one send was once
+	// matched to another, and its caller received 88 of 200 events twice.
 	requestIDs []string
-	// noReuse tells that the connection is not kept.
+	// noReuse reports that the connection is not kept.
 	noReuse bool
-	// sentCall tells that it has carried a call without an ID, whose late second answer names
-	// nothing either. Only requests with IDs follow, so that it can be told and passed over.
+	// sentCall reports that the connection has carried a call without an ID. A late second
+	// answer to it carries no ID either. Only requests with IDs follow, so that such an answer
+	// can be recognised and skipped.
 	sentCall bool
 }
 
-// maxRequestIDs bounds the IDs that a connection remembers; after as many requests another
-// one is opened, which one in 64 requests pays for.
+// maxRequestIDs bounds the IDs that a connection remembers; after as many requests it is
+// replaced, so one request in 64 pays for a new connection.
 const maxRequestIDs = 64
 
-// canCarry tells whether a request's answer can be told from those to all before it.
+// canCarry reports whether the answer to r can be distinguished from all earlier ones.
 func (c *conn) canCarry(r *Request) bool {
 	return !r.needsUnused() && len(c.requestIDs) < maxRequestIDs && !slices.Contains(c.requestIDs, r.ID)
 }
@@ -71,7 +72,7 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// isQuiet tells whether nothing has arrived on an idle connection: neither its
+// isQuiet reports whether nothing has arrived on an idle connection: neither its
 // end nor bytes that belong to no request.
 func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
@@ -95,19 +96,18 @@
 	return err == nil && quiet
 }
 
-// resetTime is how long a server that has too many connections needs to reset a
+// resetTime is the time in which a server that has too many connections resets a
 // new one.
 const resetTime = 1500 * time.Microsecond
 
-// wasAccepted tells whether a server keeps a new connection. A request that is sent
-// on one that is reset may have run, as far as one can know; one that was not
-// sent has not.
+// wasAccepted reports whether a server keeps a new connection. A request sent on a connection
+// that is then reset may have run; if it is not sent before this check, it can't have.
 func (c *conn) wasAccepted() bool {
 	time.Sleep(resetTime)
 	return c.isQuiet()
 }
 
-// idleTTL returns how long a connection may rest after an answer; zero if it
+// idleTTL returns how long a connection may be idle after an answer; zero if it
 // must be closed.
 func idleTTL(resp *http.Response) time.Duration {
 	if resp.Close {
--- a/backend/keep_alive_fuzz_test.go
+++ b/backend/keep_alive_fuzz_test.go
@@ -9,8 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzKeepAlive feeds what a server's answer says of its connection any head. A connection
-// never rests for longer than the answer's seconds.
+// FuzzKeepAlive feeds arbitrary header fields to idleTTL. The result must never be negative.
 func FuzzKeepAlive(f *testing.F) {
 	for _, seed := range []string{"Keep-Alive: timeout=5, max=10", "Keep-Alive: timeout=9223372036854775807", "Keep-Alive: timeout=20000000000", "Connection: close", "Keep-Alive: timeout=-1"} {
 		f.Add(seed)
--- a/backend/late_before_head_test.go
+++ b/backend/late_before_head_test.go
@@ -8,8 +8,8 @@
 	"github.com/ledgepin/ledgepin/backend"
 )
 
-// TestLateBodyIsNotReadAsHeadAnswer wants the body of a late answer to a GET not read as the
-// answer to a HEAD that follows: what is in it is a caller's or a server's text.
+// TestLateBodyIsNotReadAsHeadAnswer guards against the body of a late answer to a GET that is
+// parsed as the answer to a HEAD: a caller or a server controls its content.
 func TestLateBodyIsNotReadAsHeadAnswer(t *testing.T) {
 	text := "HTTP/1.1 204 No Content\r\nX-Request-Id: two\r\nX-Forged: yes\r\n\r\n"
 	r := lateBeforeSecond(t, completeAnswer("one", "", text))
--- a/backend/late_without_id_test.go
+++ b/backend/late_without_id_test.go
@@ -13,8 +13,8 @@
 	"github.com/ledgepin/ledgepin/backend"
 )
 
-// lateBeforeSecond serves one connection: the first request gets a whole answer with its ID, the
-// second one a text that belongs to no request, and then its own answer.
+// lateBeforeSecond serves one connection: the first request gets a complete answer with its
+// ID, the second one a text that belongs to no request, and then its own answer.
 func lateBeforeSecond(t *testing.T, late string) *rawServer {
 	return newRawServer(t, func(r *rawServer, _ int64, c net.Conn) {
 		defer c.Close()
@@ -38,8 +38,8 @@
 	})
 }
 
-// TestLateAnswerIsNotMatchedWithoutItsID wants an answer without an ID not taken for that to a
-// request on a connection whose server has given an ID back before: it says "not run" of
+// TestLateAnswerIsNotMatchedWithoutItsID guards against an answer without an ID that is matched
+// to a request although the server has sent IDs on this connection: its "not run" belongs to
 // another request.
 func TestLateAnswerIsNotMatchedWithoutItsID(t *testing.T) {
 	r := lateBeforeSecond(t, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 4\r\n\r\nlate")
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -12,24 +12,23 @@
 	"github.com/ledgepin/ledgepin/metric"
 )
 
-// Pool keeps the connections of one gateway, by server address.
+// Pool holds the connections of one gateway, by server address.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
 	open map[string]int
-	// busy are the connections with a request, by the start of their server.
+	// busy are the connections with a request in progress, by the incarnation of their server.
 	busy map[string]map[*conn]bool
-	// lastEcho is when each start of a server has given an ID back last.
+	// lastEcho is when each incarnation last sent an answer with the ID of its request.
 	lastEcho map[string]time.Time
 	closed   bool
-	// OnConnect, if set, is told how long the opening of a connection to a start of a server
-	// took.
+	// OnConnect, if set, receives the time that opening a connection to an incarnation took.
 	OnConnect func(server string, took time.Duration)
-	// Admit, if set, tells why a start of a server takes no request now, ErrLimited or ErrPaused,
-	// or counts the request.
+	// Admit, if set, counts the request, or returns why the server accepts none now,
+	// ErrLimited or ErrPaused.
 	Admit func(r *Request) error
-	// OnAnswer, if set, is given the status and the head of each answer of a start of a server,
-	// and how long ago its request was sent.
+	// OnAnswer, if set, receives the status and header of each answer of an incarnation, and
+	// the time since its request was sent.
 	OnAnswer func(server string, ago time.Duration, status int, head http.Header)
 }
 
@@ -38,24 +37,23 @@
 	return &Pool{idle: map[string][]*conn{}, open: map[string]int{}, busy: map[string]map[*conn]bool{}, lastEcho: map[string]time.Time{}}
 }
 
-// ErrFull tells that the gateway has as many connections to the server as it
-// may have.
+// ErrFull is returned if the gateway has the maximum number of connections to the server.
 var ErrFull = errors.New("backend: all connections to the server are in use")
 
-// ErrLimited tells that the server takes no more requests now, by its own report.
-var ErrLimited = errors.New("backend: the server takes no more requests now")
+// ErrLimited is returned if the rate limit that the server reported is used up.
+var ErrLimited = errors.New("backend: the server's rate limit is used up")
 
-// ErrPaused tells that the server wants no requests now, by its own report.
-var ErrPaused = errors.New("backend: the server wants no requests now")
+// ErrPaused is returned while the server has asked for a pause.
+var ErrPaused = errors.New("backend: the server has asked for a pause")
 
-// ErrEnded tells that the request had ended before it was sent: its caller has left, or its time
-// is over.
+// ErrEnded is returned if the request ended before it was sent: its caller disconnected, or
+// its deadline has passed.
 var ErrEnded = errors.New("backend: the request ended before it was sent")
 
 // Causes of new connections.
 const (
-	// causeOnce: the request may run once, and a kept connection may break in a way that
-	// leaves it open whether it has.
+	// causeOnce: the request may run only once, and a kept connection may break in a way that
+	// leaves it unknown whether it has run.
 	causeOnce = "once"
 	// causeNoID: the call has no ID, so it is the first on its connection.
 	causeNoID = "no_id"
@@ -65,7 +63,7 @@
 	causeNoneIdle = "none_idle"
 )
 
-// cause returns why a request gets no kept connection.
+// cause returns why a request gets a new connection.
 func (p *Pool) cause(r *Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +78,7 @@
 	return causeNoneIdle
 }
 
-// get returns an idle connection that may carry a request, or opens one.
+// get returns an idle connection that may carry r, or opens one.
 func (p *Pool) get(ctx context.Context, r *Request) (*conn, error) {
 	if !r.NewConnection {
 		if c := p.takeIdle(r); c != nil {
@@ -111,8 +109,8 @@
 	return c, nil
 }
 
-// reserveConnection counts a connection more to a server, if there may be one. An idle one that may
-// not carry the request gives way.
+// reserveConnection counts a new connection to a server and reports whether the limit allows
+// it. An idle connection that may not carry the request is closed to make room.
 func (p *Pool) reserveConnection(r *Request) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,14 +127,14 @@
 	return !full
 }
 
-// errNotAccepted tells that a server closed a new connection before anything was
+// errNotAccepted is returned if a server closed a new connection before anything was
 // sent, as it does when it has too many.
 var errNotAccepted = errors.New("backend: the server closed the new connection")
 
-// echoTTL is how long it counts that a server has given an ID back.
+// echoTTL is how long a server counts as sending IDs after its last answer with an ID.
 const echoTTL = 10 * time.Minute
 
-// recordEcho notes that a start of a server has given an ID back, names tells whether it has.
+// recordEcho records that an incarnation sent an answer with the ID of its request.
 func (p *Pool) recordEcho(server string) {
 	if server == "" {
 		return
@@ -153,8 +151,8 @@
 	return ok && clock.VM.Now().Sub(at) < echoTTL
 }
 
-// Probe opens a connection to a server and closes it again, which tells whether the server
-// is there.
+// Probe opens a connection to a server and closes it again, to check that the server is
+// reachable.
 func Probe(ctx context.Context, address string) error {
 	c, err := dial(ctx, address)
 	if err != nil {
@@ -163,8 +161,8 @@
 	return c.Close()
 }
 
-// takeIdle returns the connection that was used last, is still good and may carry a
-// request.
+// takeIdle removes and returns the most recently used idle connection that is still usable
+// and may carry r.
 func (p *Pool) takeIdle(r *Request) *conn {
 	now := clock.VM.Now()
 	for {
@@ -179,7 +177,7 @@
 	}
 }
 
-// takeLastIdle takes the connection that was used last and may carry a request.
+// takeLastIdle removes and returns the most recently used connection that may carry r.
 func (p *Pool) takeLastIdle(r *Request) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +219,7 @@
 	}
 }
 
-// Sweep closes idle connections whose time is over.
+// Sweep closes idle connections whose time has expired.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	for server, at := range p.lastEcho {
@@ -261,7 +259,7 @@
 	}
 }
 
-// markBusy notes that a connection has a request to a server, end that it has none any more.
+// markBusy records that a connection has a request in progress, markIdle that it has none.
 func (p *Pool) markBusy(server string, c *conn) {
 	if server == "" {
 		return
@@ -283,9 +281,9 @@
 	}
 }
 
-// EndIncarnation closes the connections to a start of a server that has ended: idle ones to its
-// address, and those with requests, which break off as they would have if the server's VM
-// had still been there to reset them.
+// EndIncarnation closes the connections to an incarnation that has ended: idle ones to its
+// address, and those with requests in progress, which fail as if the server's VM had still
+// been there to reset them.
 func (p *Pool) EndIncarnation(server, address string) {
 	p.mu.Lock()
 	var busy []*conn
@@ -299,7 +297,7 @@
 	p.CloseIdle(address)
 }
 
-// Close closes all idle connections and keeps none from now on.
+// Close closes all idle connections; the pool keeps no more after that.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -1,9 +1,9 @@
-// Package backend speaks HTTP/1.1 to backend servers: model engines and plain
-// services that gateways call directly.
+// Package backend is a client for backend servers: model engines and plain services that
+// gateways call directly over HTTP/1.1.
 //
-// It keeps its own connections and never sends a request a second time by
-// itself. Each error tells whether the server may have seen the request, so
-// that the caller can decide what a retry would mean.
+// It keeps its own connections and never sends a request a second time by itself. Each error
+// reports whether the server may have received the request, so that the caller can decide
+// whether a retry is safe.
 package backend
 
 import (
@@ -14,73 +14,73 @@
 )
 
 // Headers are the names of the header fields between callers, gateways and
-// backend servers, by who sets them. A deployment whose servers use other names
-// brings its own.
+// backend servers, by the side that sets them. A deployment whose servers use other names
+// provides its own.
 type Headers struct {
 	CallerFields
 	GatewayFields
 	ServerFields
 }
 
-// CallerFields are set by callers and passed on.
+// CallerFields are set by callers and forwarded.
 type CallerFields struct {
 	// RequestID names one attempt of a caller; answers carry it back.
 	RequestID string
-	// Deadline is the time in milliseconds that the sender will still wait;
+	// Deadline is the remaining time in milliseconds that the sender will wait;
 	// each send has its own.
 	Deadline string
-	// Tokens gives the tokens of the prompt and the most tokens of the answer.
+	// Tokens gives the tokens of the prompt and the maximum tokens of the answer.
 	Tokens string
 	// LengthHint is the caller's estimate of the tokens of the answer.
 	LengthHint string
-	// LastEventID is the last event of a stream that the caller has.
+	// LastEventID is the last event of a stream that the caller has received.
 	LastEventID string
 	// PromptParts names the parts of the prompt in order, each with its tokens.
 	PromptParts string
 }
 
-// GatewayFields are set by gateways only: what a caller sends of them reaches no
-// server.
+// GatewayFields are set by gateways only: values sent by callers are not forwarded to
+// servers.
 type GatewayFields struct {
 	// ExpectInstance names the incarnation that a request is meant for.
 	ExpectInstance string
-	// Role asks an engine for one phase of a request.
+	// Role selects the phase of a request that an engine runs.
 	Role string
-	// KVSource tells a decode engine where the KV cache of the prompt is.
+	// KVSource gives a decode engine the location of the prompt's KV cache.
 	KVSource string
-	// Hold names room that was set aside at an engine for the request.
+	// Hold names capacity that was reserved at an engine for the request.
 	Hold string
-	// Organisation names whose request it is, where callers have keys.
+	// Organisation names the organisation that sent the request, if callers have keys.
 	Organisation string
-	// Unused are those that servers know and no gateway sets.
+	// Unused are fields that servers read and no gateway sets.
 	Unused []string
 }
 
 // ServerFields are set by servers in their answers only.
 type ServerFields struct {
-	// Signature marks an answer as a server's own.
+	// Signature marks an answer as sent by the server itself.
 	Signature string
-	// NotRun tells that the server did not run the request.
+	// NotRun reports that the server did not run the request.
 	NotRun string
-	// Cold tells how much longer the server bears fewer requests than usual.
+	// Cold is the remaining time for which the server can serve fewer requests than usual.
 	Cold string
-	// Limit names the requests a second that the server takes from all gateways together,
-	// for as long as its answers say so.
+	// Limit is the rate of requests per second that the server accepts from all gateways
+	// together, valid for as long as its answers carry it.
 	Limit string
-	// Leaving tells that the server takes no new work.
+	// Leaving reports that the server accepts no new work.
 	Leaving string
 }
 
-// Private returns the names of the fields that are no caller's to set. It goes
-// through all fields of the two structs, so that a new one can't be forgotten.
+// Private returns the names of the fields that callers may not set. It enumerates all
+// fields of the two structs, so that a new one can't be omitted.
 func (h *Headers) Private() []string {
 	return append(fieldNames(h.GatewayFields), fieldNames(h.ServerFields)...)
 }
 
-// ForServers returns the names of the fields of callers that servers read.
+// ForServers returns the names of the callers' fields that servers read.
 func (h *Headers) ForServers() []string { return fieldNames(h.CallerFields) }
 
-// fieldNames returns the strings and the lists of strings of a struct.
+// fieldNames returns the strings and the elements of string slices of a struct.
 func fieldNames(fields any) []string {
 	var out []string
 	v := reflect.ValueOf(fields)
@@ -105,80 +105,79 @@
 	ServerFields{Signature: "X-Answer-Signature", NotRun: "X-Not-Run", Cold: "X-Cold-Ms", Limit: "X-Server-Limit", Leaving: "X-Server-Leaving"},
 }
 
-// KV is the result of a prefill, or the copy of a run.
+// KV is the KV cache of a prefill, or a copy of that of a run.
 type KV struct {
 	// Handle names the KV cache at its engine.
 	Handle string
 	// Tokens is its length.
 	Tokens int
-	// Generated is the number of events that a copied run had made by its engine's own
-	// count; zero if the engine does not tell.
+	// Generated is the number of events that a copied run had generated by its engine's own
+	// count; zero if the engine does not report it.
 	Generated int
 }
 
-// Protocol is what a deployment's servers speak.
+// Protocol describes the protocol of a deployment's servers.
 type Protocol struct {
 	Headers Headers
-	// ConsecutiveEventIDs tells that engines give the events of a stream whole numbers that rise by
-	// one, so that a gateway sees what is missing. Otherwise their IDs are only names.
+	// ConsecutiveEventIDs reports that engines number the events of a stream consecutively, so
+	// that a gateway detects missing ones. Otherwise their IDs are only names.
 	ConsecutiveEventIDs bool
-	// ParseKV reads the answer to a prefill.
+	// ParseKV parses the answer to a prefill.
 	ParseKV func(body []byte) (KV, error)
 	// FreeKV returns the call that frees a KV cache.
 	FreeKV func(handle string) Call
 	// CopyRun returns the call that copies the KV cache of a run to the engine at
-	// another address; stop ends the run first, so that nothing is added to it
-	// any more. ParseKV reads the answer, whose handle names the copy. Engines
-	// whose runs can't go on elsewhere have none.
+	// another address; with stop, the run ends first, so that its cache does not
+	// grow any more. ParseKV parses the answer, whose handle names the copy. Nil if runs
+	// can't continue on another engine.
 	CopyRun func(id, target string, stop bool) Call
-	// ReserveHold returns the call that sets a slot and memory aside at an engine
-	// for a time, ParseHold reads the name of the hold from the answer, and
-	// ReleaseHold returns the call that gives it back. Engines without holds have
-	// none of them.
+	// ReserveHold returns the call that reserves a slot and memory at an engine
+	// for a time, ParseHold parses the name of the hold from the answer, and
+	// ReleaseHold returns the call that releases it. All are nil if engines have no holds.
 	ReserveHold func(tokens int, d time.Duration) Call
 	ParseHold   func(body []byte) (string, error)
 	ReleaseHold func(hold string) Call
 	// ListCachedParts returns the call that lists the prompt parts whose KV cache an engine
-	// keeps, and ParseCachedParts reads the answer. Engines that do not tell have neither.
+	// keeps, and ParseCachedParts parses the answer. Both are nil if engines do not report it.
 	ListCachedParts  func() Call
 	ParseCachedParts func(body []byte) ([]route.PromptPart, error)
-	// ParseParts reads the field PromptParts of a caller; what can't be read is none.
+	// ParseParts parses the field PromptParts of a caller; nil if it can't be parsed.
 	ParseParts func(field string) []route.PromptPart
 	// RoleOrder returns the call that changes an engine's role, and Report the
-	// call that asks for its state; ParseReport reads the answer.
+	// call that requests its state; ParseReport parses the answer.
 	RoleOrder   func(o RoleOrder) Call
 	Report      func() Call
 	ParseReport func(body []byte) (Report, error)
-	// ParseCold reads the field Cold of a server; false if it can't be read. Nil if servers
-	// do not tell.
+	// ParseCold parses the field Cold of a server and reports whether it is valid. Nil if
+	// servers do not send it.
 	ParseCold func(field string) (time.Duration, bool)
-	// ParseLimit reads the values of the field Limit in requests a second; false if they can't
-	// be read. Nil if servers do not name limits.
+	// ParseLimit parses the values of the field Limit, in requests per second, and reports
+	// whether they are valid. Nil if servers do not report limits.
 	ParseLimit func(values []string) (float64, bool)
 }
 
-// Call is a call to a server that is not a caller's request.
+// Call is a gateway's own call to a server, other than a caller's request.
 type Call struct {
 	Method, Path, ContentType string
 	Body                      []byte
 }
 
-// RoleOrder changes the role of an engine. Engines refuse an order whose fence
-// is below one that they have seen, or whose sequence is not theirs.
+// RoleOrder changes the role of an engine. Engines refuse an order whose fence is lower than
+// one that they have seen, or whose sequence differs from their own.
 type RoleOrder struct {
 	Role   string
 	Holder string
 	Fence  uint64
-	// Sequence is the number of orders that the engine has taken before.
+	// Sequence is the number of orders that the engine has accepted before.
 	Sequence uint64
 }
 
 // Report is the state of an engine.
 type Report struct {
 	Role string
-	// Busy tells that an order is under way.
+	// Busy reports that an order is in progress.
 	Busy     bool
 	Sequence uint64
-	// Born is when it started, in Unix milliseconds; zero if it does not tell.
+	// Born is the start time in Unix milliseconds; zero if the engine does not report it.
 	Born int64
 }
--- a/backend/selfreport.go
+++ b/backend/selfreport.go
@@ -11,18 +11,18 @@
 	"github.com/ledgepin/ledgepin/selfreport"
 )
 
-// fieldReader reads one field of the head of an answer.
+// fieldReader parses one header field of an answer.
 type fieldReader struct {
 	field selfreport.Field
-	// name returns the field's name; empty if servers do not have it.
+	// name returns the field's name; empty if servers do not send it.
 	name func(p *Protocol) string
-	// applies tells whether the field means anything in an answer with a status; nil for all.
+	// applies reports whether the field is valid in an answer with a status; nil for all.
 	applies func(status int) bool
-	// read puts the values into the report; false if they can't be read.
+	// read adds the values to the report and reports whether they could be parsed.
 	read func(p *Protocol, values []string, head http.Header, to *selfreport.Report) bool
 }
 
-// fieldReaders are what gateways read of servers, each once for every answer.
+// fieldReaders parse all fields in which servers report on themselves.
 var fieldReaders = []fieldReader{
 	{field: selfreport.Limit, name: limitName, read: readLimit},
 	{field: selfreport.RetryAfter, name: retryAfterName, applies: isOverload, read: readRetryAfter},
@@ -30,7 +30,7 @@
 	{field: selfreport.Cold, name: coldName, read: readCold},
 }
 
-// SelfReport reads what the head of an answer says of its server.
+// SelfReport returns what a server reports about itself in the header of an answer.
 func (p *Protocol) SelfReport(status int, head http.Header) selfreport.Report {
 	var out selfreport.Report
 	for i := range fieldReaders {
@@ -62,11 +62,11 @@
 	return ok
 }
 
-// retryAfterName returns the name in RFC 9110, section 10.2.3.
+// retryAfterName returns the name defined in RFC 9110, section 10.2.3.
 func retryAfterName(*Protocol) string { return "Retry-After" }
 
-// isOverload tells whether an answer with a status turns a request away for the server's load.
-// Retry-After means something else in a redirect.
+// isOverload reports whether an answer with this status rejects a request because of load.
+// Retry-After has another meaning in a redirect.
 func isOverload(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
@@ -80,7 +80,7 @@
 		to.RetryAfter = seconds
 		return true
 	}
-	// The server's own Date makes the difference independent of the two clocks.
+	// The difference to the server's own Date does not depend on the gateway's clock.
 	at, err := http.ParseTime(text)
 	now, errNow := http.ParseTime(head.Get("Date"))
 	if err != nil || errNow != nil {
@@ -90,8 +90,8 @@
 	return true
 }
 
-// parseSeconds reads a decimal number of seconds. Of what strconv reads besides, as exponents,
-// hexadecimal numbers and infinity, nothing is one.
+// parseSeconds parses a decimal number of seconds. It refuses other forms that strconv
+// accepts: exponents, hexadecimal numbers and infinity.
 func parseSeconds(text string) (time.Duration, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
@@ -105,7 +105,7 @@
 
 func leavingName(p *Protocol) string { return p.Headers.Leaving }
 
-// readLeaving reads 1 for a server that leaves, and 0 for one that does not.
+// readLeaving parses 1 for a server that is leaving and 0 for one that is not.
 func readLeaving(_ *Protocol, values []string, _ http.Header, to *selfreport.Report) bool {
 	text := strings.TrimSpace(values[0])
 	if !allEqual(values) || text != "0" && text != "1" {
@@ -131,7 +131,7 @@
 	return true
 }
 
-// allEqual tells whether all values of a field say the allEqual.
+// allEqual reports whether all values of a field are the same.
 func allEqual(values []string) bool {
 	return !slices.ContainsFunc(values, func(v string) bool { return strings.TrimSpace(v) != strings.TrimSpace(values[0]) })
 }
