--- a/engine/client.go
+++ b/engine/client.go
@@ -17,8 +17,8 @@
 
 // Bounds on what an engine may send.
 const (
-	maxBody = 4 << 20
-	maxLine = 1 << 20
+	maxBodyBytes = 4 << 20
+	maxLineBytes = 1 << 20
 )
 
 // Client is an Engine over HTTP.
@@ -37,18 +37,18 @@
 	return &Client{addr: addr, http: &http.Client{Transport: t}}
 }
 
-// transfer is the KV-transfer object of a request.
-type transfer struct {
+// kvTransfer is the KV-kvTransfer object of a request.
+type kvTransfer struct {
 	Export bool `json:"export,omitempty"`
 	Import *KV  `json:"import,omitempty"`
 	From   int  `json:"from_index,omitempty"`
 }
 
-// body is a completion request as it stands on the wire.
-type body struct {
+// requestBody is a completion request as it stands on the wire.
+type requestBody struct {
 	Request
-	Stream   bool      `json:"stream"`
-	Transfer *transfer `json:"kv_transfer"`
+	Stream   bool        `json:"stream"`
+	Transfer *kvTransfer `json:"kv_transfer"`
 }
 
 func (r Request) path() string {
@@ -60,13 +60,13 @@
 
 // Prefill implements Engine.
 func (c *Client) Prefill(ctx context.Context, r Request) (Prefilled, error) {
-	in := body{Request: r, Transfer: &transfer{Export: true}}
-	return ask[Prefilled](ctx, c, fault.StepPrefill, http.MethodPost, r.path(), in)
+	in := requestBody{Request: r, Transfer: &kvTransfer{Export: true}}
+	return fetch[Prefilled](ctx, c, fault.StepPrefill, http.MethodPost, r.path(), in)
 }
 
 // Decode implements Engine.
 func (c *Client) Decode(ctx context.Context, r Request, kv KV, from int) (Stream, error) {
-	in := body{Request: r, Stream: true, Transfer: &transfer{Import: &kv, From: from}}
+	in := requestBody{Request: r, Stream: true, Transfer: &kvTransfer{Import: &kv, From: from}}
 	return c.stream(ctx, fault.StepTransfer, http.MethodPost, r.path(), in)
 }
 
@@ -82,18 +82,18 @@
 
 // Running implements Engine.
 func (c *Client) Running(ctx context.Context) ([]string, error) {
-	return ask[[]string](ctx, c, fault.StepCancel, http.MethodGet, "/v1/requests", nil)
+	return fetch[[]string](ctx, c, fault.StepCancel, http.MethodGet, "/v1/requests", nil)
 }
 
 // Load implements Engine.
 func (c *Client) Load(ctx context.Context) (Load, error) {
-	return ask[Load](ctx, c, fault.StepLink, http.MethodGet, "/v1/load", nil)
+	return fetch[Load](ctx, c, fault.StepLink, http.MethodGet, "/v1/load", nil)
 }
 
 // CacheEvents implements Engine.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	path := "/v1/cache_events?after=" + strconv.FormatUint(after, 10)
-	return ask[[]CacheEvent](ctx, c, fault.StepLink, http.MethodGet, path, nil)
+	return fetch[[]CacheEvent](ctx, c, fault.StepLink, http.MethodGet, path, nil)
 }
 
 // Order implements Engine.
@@ -101,9 +101,9 @@
 	return c.call(ctx, fault.StepOrder, http.MethodPost, "/v1/orders", o, nil)
 }
 
-// ask returns an answer that can be read whole: what stands before the place that can't be
+// fetch returns an answer that can be read whole: what stands before the place that can't be
 // read is no answer.
-func ask[T any](ctx context.Context, c *Client, step fault.Step, method, path string, in any) (T, error) {
+func fetch[T any](ctx context.Context, c *Client, step fault.Step, method, path string, in any) (T, error) {
 	var out, none T
 	if err := c.call(ctx, step, method, path, in, &out); err != nil {
 		return none, err
@@ -117,7 +117,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return fault.Wrap(err, fault.EngineLost, step, c.addr)
 	}
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	scan := bufio.NewScanner(resp.Body)
-	scan.Buffer(make([]byte, 0, 4096), maxLine)
+	scan.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	return &sse{addr: c.addr, body: resp.Body, scan: scan}, nil
 }
 
