--- a/service/service.go
+++ b/service/service.go
@@ -41,8 +41,8 @@
 	// next call's, and a call could be sent again when the connection has gone stale.
 	t := &http.Transport{DisableKeepAlives: true}
 	// A redirect is the caller's to follow: followed here, one call would be two.
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &Client{addr: addr, http: &http.Client{Transport: t, CheckRedirect: stay}}
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Client{addr: addr, http: &http.Client{Transport: t, CheckRedirect: noRedirect}}
 }
 
 // Do calls the service once. Sent tells whether the service may have seen the
@@ -57,7 +57,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, !refused(err), fault.Wrap(err, fault.ServiceFailed, fault.StepCall, c.addr)
+		return Answer{}, !dialFailed(err), fault.Wrap(err, fault.ServiceFailed, fault.StepCall, c.addr)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
@@ -70,8 +70,8 @@
 	return Answer{Status: resp.StatusCode, Type: resp.Header.Get("Content-Type"), Body: body}, true, nil
 }
 
-// refused tells that no connection was opened.
-func refused(err error) bool {
+// dialFailed tells that no connection was opened.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
