--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -35,8 +35,8 @@
 // Path is the path of the list.
 const Path = "/v1/vms"
 
-// maxList bounds the list in bytes.
-const maxList = 4 << 20
+// maxListBytes bounds the list in bytes.
+const maxListBytes = 4 << 20
 
 // Client reads the list at one address.
 type Client struct {
@@ -66,7 +66,7 @@
 		return nil, fault.New(fault.LinkLost, fault.StepLink, c.addr, fmt.Sprintf("status %d", resp.StatusCode))
 	}
 	var out []VM
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err == nil {
 		err = json.Unmarshal(data, &out)
 	}
