--- a/caller/answer.go
+++ b/caller/answer.go
@@ -36,9 +36,9 @@
 	c.Response().Header().Set(echo.HeaderXRequestID, f.ID)
 	a := &answer{c: c, flow: f, chat: chat, model: p.Request.Model, created: clock.WallTime().Unix(), usage: p.Usage}
 	if p.Stream {
-		return a.stream()
+		return a.writeStream()
 	}
-	return a.whole()
+	return a.writeComplete()
 }
 
 // answer writes one completion to its caller.
@@ -81,19 +81,19 @@
 	Total      int `json:"total_tokens"`
 }
 
-func (a *answer) shell(object string) completion {
+func (a *answer) envelope(object string) completion {
 	return completion{ID: "cmpl-" + a.flow.ID, Object: object, Created: a.created, Model: a.model, Choices: []choice{}}
 }
 
-func (a *answer) counts() *usage {
+func (a *answer) usageCounts() *usage {
 	p := a.flow.PromptTokens()
 	return &usage{Prompt: p, Completion: a.tokens, Total: p + a.tokens}
 }
 
-// gather reads an answer to the end of its flow, which for a request that may be made once
+// readAnswer reads an answer to the end of its flow, which for a request that may be made once
 // comes only when its outcome is recorded: a caller that has the answer and asks again must
 // find it.
-func gather(next func() (stream.Chunk, error)) (text, finish string, tokens int, err error) {
+func readAnswer(next func() (stream.Chunk, error)) (text, finish string, tokens int, err error) {
 	var all strings.Builder
 	for {
 		p, err := next()
@@ -110,14 +110,14 @@
 	}
 }
 
-// whole gathers the answer and writes it at once.
-func (a *answer) whole() error {
-	full, finish, tokens, err := gather(func() (stream.Chunk, error) { return a.flow.Next(a.c.Request().Context()) })
+// writeComplete reads the answer and writes it at once.
+func (a *answer) writeComplete() error {
+	full, finish, tokens, err := readAnswer(func() (stream.Chunk, error) { return a.flow.Next(a.c.Request().Context()) })
 	if err != nil {
 		return err
 	}
 	a.tokens = tokens
-	out := a.shell("text_completion")
+	out := a.envelope("text_completion")
 	ch := choice{Finish: &finish}
 	if a.chat {
 		out.Object = "chat.completion"
@@ -126,13 +126,13 @@
 		ch.Text = &full
 	}
 	out.Choices = []choice{ch}
-	out.Usage = a.counts()
+	out.Usage = a.usageCounts()
 	return a.c.JSON(http.StatusOK, out)
 }
 
-// stream writes the answer as server-sent events. The status is written with
+// writeStream writes the answer as server-sent events. The status is written with
 // the first token, so that a refusal still has its own status.
-func (a *answer) stream() error {
+func (a *answer) writeStream() error {
 	ctx := a.c.Request().Context()
 	started := false
 	for {
@@ -144,27 +144,27 @@
 			return err
 		}
 		if err != nil {
-			return a.broken(err)
+			return a.writeError(err)
 		}
 		if !started {
 			started = true
-			a.head()
+			a.writeHead()
 		}
-		if err := a.part(p); err != nil {
+		if err := a.writePart(p); err != nil {
 			return nil // the caller is gone or too slow; Cancel cleans up
 		}
 	}
 }
 
-func (a *answer) head() {
+func (a *answer) writeHead() {
 	h := a.c.Response().Header()
 	h.Set(echo.HeaderContentType, "text/event-stream")
 	h.Set(echo.HeaderCacheControl, "no-cache")
 	a.c.Response().WriteHeader(http.StatusOK)
 }
 
-func (a *answer) part(p stream.Chunk) error {
-	out := a.shell("text_completion")
+func (a *answer) writePart(p stream.Chunk) error {
+	out := a.envelope("text_completion")
 	ch := choice{}
 	if a.chat {
 		out.Object = "chat.completion.chunk"
@@ -181,25 +181,25 @@
 		a.tokens++
 	}
 	out.Choices = []choice{ch}
-	if err := a.event(out); err != nil || p.Finish == "" {
+	if err := a.writeEvent(out); err != nil || p.Finish == "" {
 		return err
 	}
-	return a.tail(out.Object)
+	return a.writeEnd(out.Object)
 }
 
-// tail writes what follows the last token.
-func (a *answer) tail(object string) error {
+// writeEnd writes what follows the last token.
+func (a *answer) writeEnd(object string) error {
 	if a.usage {
-		out := a.shell(object)
-		out.Usage = a.counts()
-		if err := a.event(out); err != nil {
+		out := a.envelope(object)
+		out.Usage = a.usageCounts()
+		if err := a.writeEvent(out); err != nil {
 			return err
 		}
 	}
 	return a.write([]byte("[DONE]"))
 }
 
-func (a *answer) event(v any) error {
+func (a *answer) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -217,10 +217,10 @@
 	return rc.Flush()
 }
 
-// broken tells, within a stream that has begun, that it has no whole answer.
-func (a *answer) broken(err error) error {
+// writeError tells, within a stream that has begun, that it has no whole answer.
+func (a *answer) writeError(err error) error {
 	if a.c.Request().Context().Err() != nil {
 		return nil
 	}
-	return a.event(errorBody(fault.From(err)))
+	return a.writeEvent(errorBody(fault.From(err)))
 }
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -12,8 +12,8 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// input is a completion request of the OpenAI API, as far as it is carried.
-type input struct {
+// completionRequest is a completion request of the OpenAI API, as far as it is carried.
+type completionRequest struct {
 	Model            string          `json:"model"`
 	Prompt           json.RawMessage `json:"prompt"`
 	Messages         []turn          `json:"messages"`
@@ -58,7 +58,7 @@
 	Usage bool
 }
 
-func bad(format string, args ...any) error {
+func badRequest(format string, args ...any) error {
 	return fault.New(fault.BadRequest, fault.StepParse, "", fmt.Sprintf(format, args...))
 }
 
@@ -73,7 +73,7 @@
 	out := Parsed{Stream: in.Stream, Usage: in.StreamOptions != nil && in.StreamOptions.IncludeUsage}
 	out.Request.Model = in.Model
 	if in.Model == "" {
-		return Parsed{}, bad("model is missing")
+		return Parsed{}, badRequest("model is missing")
 	}
 	if in.N != nil && *in.N != 1 {
 		return Parsed{}, fault.New(fault.UnsupportedParameter, fault.StepParse, "", "n must be 1")
@@ -81,7 +81,7 @@
 	if chat {
 		err = in.chat(&out.Request)
 	} else {
-		err = in.plain(&out.Request)
+		err = in.prompt(&out.Request)
 	}
 	if err != nil {
 		return Parsed{}, err
@@ -90,70 +90,70 @@
 	return out, err
 }
 
-func decode(data []byte) (*input, error) {
-	in := &input{}
+func decode(data []byte) (*completionRequest, error) {
+	in := &completionRequest{}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(in); err != nil {
 		if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 			return nil, fault.New(fault.UnsupportedParameter, fault.StepParse, "", "the parameter "+name+" is not carried")
 		}
-		return nil, bad("the body is not a request in JSON: %v", err)
+		return nil, badRequest("the body is not a request in JSON: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, bad("the body has more than one JSON value")
+		return nil, badRequest("the body has more than one JSON value")
 	}
 	return in, nil
 }
 
-func (in *input) chat(r *engine.Request) error {
+func (in *completionRequest) chat(r *engine.Request) error {
 	if len(in.Messages) == 0 || len(in.Messages) > maxTurns {
-		return bad("messages must have 1 to %d entries", maxTurns)
+		return badRequest("messages must have 1 to %d entries", maxTurns)
 	}
 	for i, t := range in.Messages {
-		text, err := content(t.Content)
+		text, err := contentText(t.Content)
 		if err != nil {
-			return bad("messages[%d].content: %v", i, err)
+			return badRequest("messages[%d].content: %v", i, err)
 		}
 		switch t.Role {
 		case "system", "developer", "user", "assistant":
 		default:
-			return bad("messages[%d].role: want system, developer, user or assistant", i)
+			return badRequest("messages[%d].role: want system, developer, user or assistant", i)
 		}
 		r.Messages = append(r.Messages, engine.Turn{Role: t.Role, Content: text})
 	}
 	return nil
 }
 
-var errText = errors.New("want a text or a list of text parts")
+var errNotText = errors.New("want a text or a list of text parts")
 
-func content(raw json.RawMessage) (string, error) {
+func contentText(raw json.RawMessage) (string, error) {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		return s, nil
 	}
 	var parts []textPart
 	if json.Unmarshal(raw, &parts) != nil {
-		return "", errText
+		return "", errNotText
 	}
 	var b strings.Builder
 	for _, p := range parts {
 		if p.Type != "text" {
-			return "", errText
+			return "", errNotText
 		}
 		b.WriteString(p.Text)
 	}
 	return b.String(), nil
 }
 
-func (in *input) plain(r *engine.Request) error {
+func (in *completionRequest) prompt(r *engine.Request) error {
 	if json.Unmarshal(in.Prompt, &r.Prompt) != nil || r.Prompt == "" {
-		return bad("prompt: want a text that is not empty")
+		return badRequest("prompt: want a text that is not empty")
 	}
 	return nil
 }
 
-func (in *input) sampling() (engine.Sampling, error) {
+func (in *completionRequest) sampling() (engine.Sampling, error) {
 	s := engine.Sampling{
 		Temperature: in.Temperature, TopP: in.TopP, Seed: in.Seed,
 		PresencePenalty: in.PresencePenalty, FrequencyPenalty: in.FrequencyPenalty,
@@ -164,15 +164,15 @@
 	}
 	if limit != nil {
 		if *limit < 1 {
-			return s, bad("max_tokens must be at least 1")
+			return s, badRequest("max_tokens must be at least 1")
 		}
 		s.MaxTokens = *limit
 	}
 	if in.Temperature != nil && (*in.Temperature < 0 || *in.Temperature > 2) {
-		return s, bad("temperature must be from 0 to 2")
+		return s, badRequest("temperature must be from 0 to 2")
 	}
 	if in.TopP != nil && (*in.TopP < 0 || *in.TopP > 1) {
-		return s, bad("top_p must be from 0 to 1")
+		return s, badRequest("top_p must be from 0 to 1")
 	}
 	stop, err := in.stop()
 	s.Stop = stop
@@ -181,7 +181,7 @@
 
 const maxStops = 4
 
-func (in *input) stop() ([]string, error) {
+func (in *completionRequest) stop() ([]string, error) {
 	if len(in.Stop) == 0 || string(in.Stop) == "null" {
 		return nil, nil
 	}
@@ -191,7 +191,7 @@
 	}
 	var list []string
 	if json.Unmarshal(in.Stop, &list) != nil || len(list) > maxStops {
-		return nil, bad("stop: want a text or a list of at most %d texts", maxStops)
+		return nil, badRequest("stop: want a text or a list of at most %d texts", maxStops)
 	}
 	return list, nil
 }
