--- a/operator/evacuate.go
+++ b/operator/evacuate.go
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/fleet"
 )
 
-func (s *server) evacuated(c echo.Context) error {
+func (s *server) listEvacuated(c echo.Context) error {
 	k, err := s.control()
 	if err != nil {
 		return err
@@ -33,5 +33,5 @@
 	if err := k.Evacuate(c.Request().Context(), c.Param("zone"), finished); err != nil {
 		return err
 	}
-	return s.evacuated(c)
+	return s.listEvacuated(c)
 }
--- a/operator/upgrade.go
+++ b/operator/upgrade.go
@@ -35,7 +35,7 @@
 	if err := c.Bind(&in); err != nil {
 		return fault.Wrap(err, fault.BadRequest, fault.StepParse, "operator")
 	}
-	if len(in.Who) > maxNote {
+	if len(in.Who) > maxNoteBytes {
 		return fault.New(fault.BadRequest, fault.StepParse, "operator", "want a short value for who")
 	}
 	u, err := k.RaiseVersion(c.Request().Context(), in.Who)
