--- a/engine/answers_fuzz_test.go
+++ b/engine/answers_fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/ledgepin/ledgepin/engine"
 )
 
-// FuzzAnswers feeds the readers of an engine's answers any body: one that can't be read is
-// not used in part.
+// FuzzAnswers feeds arbitrary bodies to the parsers of an engine's answers: nothing of an
+// unreadable answer may be used.
 func FuzzAnswers(f *testing.F) {
 	for _, seed := range []string{`{"running":1,"slots":8,"models":["m"],"role":"decode"}`, `["q.1",2]`, `[{"seq":9},{"seq":-1}]`, `{"kv":{},"cached_tokens":"x"}`, `null`, ""} {
 		f.Add([]byte(seed))
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,7 +1,7 @@
-// Package engine talks to model engines.
+// Package engine is a client for model engines.
 //
-// The wire is the OpenAI-style HTTP that common engines speak, with an object
-// for KV transfers beside it. Only the agent beside an engine uses it. What an
-// engine must give stands in the interface Engine; Client is its form over
-// HTTP, and the contract test in enginetest runs against any of them.
+// The protocol is the OpenAI-style HTTP API of common engines, with an additional
+// object for KV transfers. Only the agent of an engine uses it. The interface Engine
+// defines what an engine must provide; Client implements it over HTTP, and the
+// contract test in enginetest runs against any implementation.
 package engine
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sampling are the parameters that are passed through to the engine.
+// Sampling holds the parameters that are passed through to the engine.
 type Sampling struct {
 	MaxTokens        int      `json:"max_tokens,omitempty" cbor:"1,keyasint,omitempty"`
 	Temperature      *float64 `json:"temperature,omitempty" cbor:"2,keyasint,omitempty"`
@@ -23,16 +23,16 @@
 	Content string `json:"content" cbor:"2,keyasint"`
 }
 
-// Request is what an engine is asked to complete: a prompt or a chat.
+// Request is a prompt or a chat for an engine to complete.
 type Request struct {
-	// ID names the attempt; the engine lists and cancels by it.
+	// ID names the attempt; engines list and cancel requests by it.
 	ID       string `json:"request_id" cbor:"1,keyasint"`
 	Model    string `json:"model" cbor:"2,keyasint"`
 	Prompt   string `json:"prompt,omitempty" cbor:"3,keyasint,omitempty"`
 	Messages []Turn `json:"messages,omitempty" cbor:"4,keyasint,omitempty"`
 	Priority int    `json:"priority" cbor:"5,keyasint"`
-	// Sofar is the text that the answer already has, when another engine
-	// goes on with it; SofarTokens counts its tokens.
+	// Sofar is the text generated so far, if another engine continues the answer;
+	// SofarTokens counts its tokens.
 	Sofar       string   `json:"continue_text,omitempty" cbor:"6,keyasint,omitempty"`
 	SofarTokens int      `json:"continue_tokens,omitempty" cbor:"7,keyasint,omitempty"`
 	Sampling    Sampling `json:"sampling" cbor:"8,keyasint"`
@@ -50,21 +50,21 @@
 	return b.String()
 }
 
-// KV names the result of a prefill, kept at the engine that made it.
+// KV names the result of a prefill, stored at the engine that computed it.
 type KV struct {
 	// Source is the address at which a decode engine fetches it.
 	Source string `json:"source" cbor:"1,keyasint"`
 	Handle string `json:"handle" cbor:"2,keyasint"`
 	Bytes  int64  `json:"bytes" cbor:"3,keyasint"`
 	Tokens int    `json:"tokens" cbor:"4,keyasint"`
-	// TTL is how long the engine keeps it, from the end of the prefill.
+	// TTL is the time from the end of the prefill for which the engine keeps it.
 	TTL time.Duration `json:"ttl_ns" cbor:"5,keyasint"`
 }
 
-// Prefilled is the outcome of a prefill.
+// Prefilled is the result of a prefill.
 type Prefilled struct {
 	KV KV `json:"kv"`
-	// Cached counts the prompt tokens that the prefix cache had.
+	// Cached counts the prompt tokens that were in the prefix cache.
 	Cached int `json:"cached_tokens"`
 }
 
@@ -72,12 +72,12 @@
 type Chunk struct {
 	Index int    `json:"index" cbor:"5,keyasint"`
 	Text  string `json:"text" cbor:"6,keyasint,omitempty"`
-	// Finish is why the answer ended; empty while it goes on. The chunk that
-	// carries it has no text and the index after the last token.
+	// Finish is the reason why the answer ended; empty before its end. The chunk that
+	// has it has no text, and the index after the last token.
 	Finish string `json:"finish_reason,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Load is an engine's own report; it lags behind.
+// Load is an engine's own load report, which is out of date on arrival.
 type Load struct {
 	Running int      `json:"running"`
 	Waiting int      `json:"waiting"`
@@ -85,13 +85,13 @@
 	Models  []string `json:"models"`
 	// Assets names what is loaded: "model@version", "model@version/adapter".
 	Assets []string `json:"assets"`
-	// Role is what the engine serves as: prefill or decode.
+	// Role is the role that the engine serves: prefill or decode.
 	Role string `json:"role"`
-	// At is when the engine took the report.
+	// At is when the engine generated the report.
 	At time.Time `json:"at"`
 }
 
-// CacheEvent tells that a prefix entered or left the cache. Sequence numbers
+// CacheEvent reports that a prefix entered or left the cache. Sequence numbers
 // have gaps where events were lost.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
@@ -99,15 +99,15 @@
 	Removed bool   `json:"removed,omitempty"`
 }
 
-// Stream gives the chunks of one decode.
+// Stream returns the chunks of one decode.
 type Stream interface {
 	// Next returns the next chunk; io.EOF after the one that ends the answer.
 	Next() (Chunk, error)
-	// Close leaves the stream; the engine goes on until it is cancelled.
+	// Close closes the stream; the engine continues until the request is cancelled.
 	Close() error
 }
 
-// Order is a change of what an engine does; the agent has checked its fence.
+// Order changes what an engine serves; the agent has checked its fence.
 type Order struct {
 	Action  string `json:"action"`
 	Model   string `json:"model,omitempty"`
@@ -116,7 +116,7 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Asset names a loaded model, or one of its adapters.
+// Asset returns the name of a loaded model, or of one of its adapters.
 func Asset(model, version, adapter string) string {
 	name := model + "@" + version
 	if adapter != "" {
@@ -133,25 +133,25 @@
 	ActionRole    = "change_role"
 )
 
-// Engine is what ledgepin needs of a model engine. Errors are fault errors
-// with the step and the address of the engine.
+// Engine is the interface of a model engine. Errors are fault errors with the step and the
+// address of the engine.
 type Engine interface {
-	// Prefill computes and keeps the KV cache of a request.
+	// Prefill computes and stores the KV cache of a request.
 	Prefill(ctx context.Context, r Request) (Prefilled, error)
-	// Decode fetches the KV cache and streams tokens from index from on. It
-	// returns once the import is done.
+	// Decode imports the KV cache and streams the tokens from index from on. It
+	// returns when the import is complete.
 	Decode(ctx context.Context, r Request, kv KV, from int) (Stream, error)
-	// Resume opens the stream of a running decode again at an index.
+	// Resume reopens the stream of a running decode at an index.
 	Resume(ctx context.Context, id string, from int) (Stream, error)
-	// Cancel ends a request and frees its memory. It returns nil once the
-	// engine holds nothing of the request, also if it never did.
+	// Cancel ends a request and frees its memory. It returns nil once the engine
+	// holds nothing of the request, also if it never ran it.
 	Cancel(ctx context.Context, id string) error
-	// Running lists the IDs of all requests that hold memory.
+	// Running lists the IDs of all requests that occupy memory.
 	Running(ctx context.Context) ([]string, error)
 	// Load returns the newest load report.
 	Load(ctx context.Context) (Load, error)
 	// CacheEvents returns the events after a sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// Order carries out a change.
+	// Order carries out an order.
 	Order(ctx context.Context, o Order) error
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/engine"
 )
 
-// FuzzParseChunk feeds the reader of an engine's chunks any data.
+// FuzzParseChunk feeds arbitrary data to ParseChunk.
 func FuzzParseChunk(f *testing.F) {
 	f.Add([]byte(`{"index":3,"text":"a"}`))
 	f.Add([]byte(`{"index":-1}`))
