--- a/service/late_kept_test.go
+++ b/service/late_kept_test.go
@@ -13,7 +13,7 @@
 	"github.com/ledgepin/ledgepin/service"
 )
 
-// newLateServer serves with each answer's late copy before the answer to the second request.
+// newLateServer repeats the first answer before the answer to the second request.
 func newLateServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -46,8 +46,8 @@
 	return ln.Addr().String()
 }
 
-// TestLateAnswerIsNotReturnedOnKeptConnection wants no call of an agent to get the late second answer to
-// the one before.
+// TestLateAnswerIsNotReturnedOnKeptConnection guards against a late second answer to one call
+// that is returned as the answer to the next one.
 func TestLateAnswerIsNotReturnedOnKeptConnection(t *testing.T) {
 	c := service.NewClient(newLateServer(t))
 	for _, path := range []string{"/first", "/second"} {
--- a/service/late_test.go
+++ b/service/late_test.go
@@ -13,7 +13,8 @@
 	"github.com/ledgepin/ledgepin/service"
 )
 
-// TestLateAnswerIsNotReturnedToNextCall wants each call to get its own answer, not the one to the call before it.
+// TestLateAnswerIsNotReturnedToNextCall checks that each call gets its own answer, not the one
+// to the call before it.
 func TestLateAnswerIsNotReturnedToNextCall(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet} {
 		t.Run(method, func(t *testing.T) {
@@ -33,7 +34,7 @@
 	}
 }
 
-// BenchmarkDo makes small calls, one after the other; the service's work is in the figures.
+// BenchmarkDo makes small calls in sequence; the results include the service's work.
 func BenchmarkDo(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }))
 	defer srv.Close()
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -16,9 +16,9 @@
 	"github.com/ledgepin/ledgepin/service"
 )
 
-// TestCallIsNeverSentTwice calls services that invite a second call: by a redirect,
-// by closing a kept connection, by closing without an answer, by never
-// answering. Each may see one call only, and whether it was sent must be true.
+// TestCallIsNeverSentTwice guards against a call that a service receives twice. The services
+// invite a second call: by a redirect, by closing a kept connection, by closing without an
+// answer, by never answering. sent must be right for each.
 func TestCallIsNeverSentTwice(t *testing.T) {
 	closeNow := func(w http.ResponseWriter) {
 		conn, _, err := w.(http.Hijacker).Hijack()
