--- a/vmlist/fuzz_test.go
+++ b/vmlist/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/ledgepin/ledgepin/vmlist"
 )
 
-// FuzzList feeds the reader of the platform's list any answer.
+// FuzzList feeds arbitrary answers to the parser of the platform's list.
 func FuzzList(f *testing.F) {
 	for _, seed := range []string{`[{"name":"a","address":"127.0.0.1","state":"live"}]`, `[]`, `null`, `{}`, `[{"name":1}]`, `[]x`, ""} {
 		f.Add([]byte(seed))
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -1,7 +1,7 @@
 // Package vmlist reads the platform's list of live and leaving VMs.
 //
-// The list lags behind, so it is one sign among others: a server that says
-// itself that it is leaving is believed at once.
+// The list lags behind, so it is one signal among others: a server's own report that it is
+// leaving takes effect at once.
 package vmlist
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// State is what the platform says of a VM.
+// State is the state that the platform reports for a VM.
 type State string
 
 // The states of a VM.
@@ -23,19 +23,19 @@
 	Leaving State = "leaving"
 )
 
-// VM is one row of the list.
+// VM is one entry of the list.
 type VM struct {
-	// Name is the name that the settings give to the server on the VM.
+	// Name is the name of the VM's server in the settings.
 	Name string `json:"name"`
-	// Address is the VM's IP number.
+	// Address is the VM's IP address.
 	Address string `json:"address"`
 	State   State  `json:"state"`
 }
 
-// Path is the path of the list.
+// Path is the HTTP path of the list.
 const Path = "/v1/vms"
 
-// maxListBytes bounds the list in bytes.
+// maxListBytes bounds the size of the list.
 const maxListBytes = 4 << 20
 
 // Client reads the list at one address.
@@ -44,14 +44,14 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the platform at addr, an IP number and port.
+// NewClient returns a client of the platform at addr, an IP address and port.
 func NewClient(addr string) *Client {
-	// A list does not name its request: on a kept connection, a late second list would be
-	// taken for the next one.
+	// A list doesn't name its request: on a kept connection, a late second list would be
+	// read as the next one.
 	return &Client{addr: addr, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// List returns the VMs as the platform knows them now.
+// List returns the platform's current list of VMs.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.addr+Path, nil)
 	if err != nil {
--- a/vmlist/vmlist_test.go
+++ b/vmlist/vmlist_test.go
@@ -12,7 +12,8 @@
 	"github.com/ledgepin/ledgepin/vmlist"
 )
 
-// TestLateListIsNotReturnedToNextCall wants the list that was asked for, not the one before it.
+// TestLateListIsNotReturnedToNextCall guards against a late earlier list that is returned as
+// the current one.
 func TestLateListIsNotReturnedToNextCall(t *testing.T) {
 	lists := make(chan string, 2)
 	srv := late.New(t, func(string, string, string) late.Answer {
@@ -29,7 +30,8 @@
 	}
 }
 
-// TestUnreadableListIsNotUsed wants no part of a list to be used, nor one with more behind it.
+// TestUnreadableListIsNotUsed checks that nothing of a list that is invalid, or has trailing
+// data, is used.
 func TestUnreadableListIsNotUsed(t *testing.T) {
 	for _, body := range []string{`[{"name":"a","address":"127.0.0.1","state":"live"},{"name":1}]`, `[]x`, `[{"name":"a"}`, ""} {
 		srv := late.New(t, func(string, string, string) late.Answer {
