--- a/caller/answer.go
+++ b/caller/answer.go
@@ -52,7 +52,7 @@
 	tokens  int
 }
 
-// completion is an answer or a chunk of one, in the shape of the OpenAI API.
+// completion is an answer or a chunk of one, in the format of the OpenAI API.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -90,9 +90,9 @@
 	return &usage{Prompt: p, Completion: a.tokens, Total: p + a.tokens}
 }
 
-// readAnswer reads an answer to the end of its flow, which for a request that may be made once
-// comes only when its outcome is recorded: a caller that has the answer and asks again must
-// find it.
+// readAnswer reads an answer to the end of its flow. For a request that may run only once,
+// the flow ends only after the outcome is recorded: a caller that has received the answer and
+// sends the request again must get it again.
 func readAnswer(next func() (stream.Chunk, error)) (text, finish string, tokens int, err error) {
 	var all strings.Builder
 	for {
@@ -110,7 +110,7 @@
 	}
 }
 
-// writeComplete reads the answer and writes it at once.
+// writeComplete reads the complete answer and writes it in one response.
 func (a *answer) writeComplete() error {
 	full, finish, tokens, err := readAnswer(func() (stream.Chunk, error) { return a.flow.Next(a.c.Request().Context()) })
 	if err != nil {
@@ -130,8 +130,8 @@
 	return a.c.JSON(http.StatusOK, out)
 }
 
-// writeStream writes the answer as server-sent events. The status is written with
-// the first token, so that a refusal still has its own status.
+// writeStream writes the answer as server-sent events. It writes the status with the first
+// token, so that a refusal still has its own status.
 func (a *answer) writeStream() error {
 	ctx := a.c.Request().Context()
 	started := false
@@ -151,7 +151,7 @@
 			a.writeHead()
 		}
 		if err := a.writePart(p); err != nil {
-			return nil // the caller is gone or too slow; Cancel cleans up
+			return nil // the caller disconnected or is too slow; Cancel cleans up
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	return rc.Flush()
 }
 
-// writeError tells, within a stream that has begun, that it has no whole answer.
+// writeError reports, within a stream that has begun, that the answer is incomplete.
 func (a *answer) writeError(err error) error {
 	if a.c.Request().Context().Err() != nil {
 		return nil
--- a/caller/answer_test.go
+++ b/caller/answer_test.go
@@ -9,13 +9,13 @@
 	"github.com/ledgepin/ledgepin/stream"
 )
 
-// A caller that had its whole answer and asked again with the same key got 409 in place of
-// the answer, once in some hundred times on a busy machine: the answer was given at its last
-// part, before a majority of the voters had its outcome. Answers that are streamed waited for
-// the end of the flow already.
+// A caller that had received its complete answer and repeated the request with the same key
+// got 409 instead of the answer, about once in a hundred times on a busy machine: the answer
+// was returned with its last part, before a majority of the voters had recorded the outcome.
+// Streamed answers were not affected, since they wait for the end of the flow.
 
-// TestAnswerIsReturnedOnlyAfterFlowEnds wants an answer that is given at once not to be given
-// before its flow has ended.
+// TestAnswerIsReturnedOnlyAfterFlowEnds guards against this: an answer in one response must not
+// be returned before its flow has ended.
 func TestAnswerIsReturnedOnlyAfterFlowEnds(t *testing.T) {
 	parts := []stream.Chunk{{Text: "a"}, {Text: "b"}, {Finish: "stop"}}
 	ended := false
@@ -36,8 +36,8 @@
 	assert.Equal(t, tokens, 2)
 }
 
-// TestBrokenFlowIsNoAnswer wants an error of the flow, and an end without the last part,
-// to be no answer.
+// TestBrokenFlowIsNoAnswer guards against a partial answer: an error of the flow, or its end
+// before the last part, must be an error.
 func TestBrokenFlowIsNoAnswer(t *testing.T) {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF} {
 		parts := 1
--- a/caller/doc.go
+++ b/caller/doc.go
@@ -1,7 +1,7 @@
-// Package caller is the HTTP interface to callers: the completions of the
-// OpenAI API, streamed and whole, and the plain services.
+// Package caller is the HTTP interface for callers: the completions of the
+// OpenAI API, streamed or in one response, and the plain services.
 //
-// Class and customer of a request follow from its token and the settings.
-// Bodies, prompts and open streams are bounded, and a reader that does not
-// read is cut off.
+// The class and customer of a request follow from its token and the settings.
+// Bodies, prompts and open streams are bounded, and a caller that does not
+// read its answer is disconnected.
 package caller
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -12,7 +12,7 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// completionRequest is a completion request of the OpenAI API, as far as it is carried.
+// completionRequest is a completion request of the OpenAI API with the supported parameters.
 type completionRequest struct {
 	Model            string          `json:"model"`
 	Prompt           json.RawMessage `json:"prompt"`
@@ -50,11 +50,11 @@
 	Text string `json:"text"`
 }
 
-// Parsed is a request that has passed the checks.
+// Parsed is a valid request.
 type Parsed struct {
 	Request engine.Request
 	Stream  bool
-	// Usage tells that the caller wants the counts in a last chunk.
+	// Usage reports that the caller requested the token counts in a last chunk.
 	Usage bool
 }
 
@@ -64,7 +64,7 @@
 
 const maxTurns = 4096
 
-// Parse reads a completion request; chat tells which of the two kinds.
+// Parse parses a chat completion request if chat is set, otherwise a plain one.
 func Parse(data []byte, chat bool) (Parsed, error) {
 	in, err := decode(data)
 	if err != nil {
@@ -96,9 +96,9 @@
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(in); err != nil {
 		if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			return nil, fault.New(fault.UnsupportedParameter, fault.StepParse, "", "the parameter "+name+" is not carried")
+			return nil, fault.New(fault.UnsupportedParameter, fault.StepParse, "", "the parameter "+name+" is not supported")
 		}
-		return nil, badRequest("the body is not a request in JSON: %v", err)
+		return nil, badRequest("the body is not a valid JSON request: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		return nil, badRequest("the body has more than one JSON value")
@@ -148,7 +148,7 @@
 
 func (in *completionRequest) prompt(r *engine.Request) error {
 	if json.Unmarshal(in.Prompt, &r.Prompt) != nil || r.Prompt == "" {
-		return badRequest("prompt: want a text that is not empty")
+		return badRequest("prompt: want a non-empty text")
 	}
 	return nil
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -29,13 +29,13 @@
 	MaxHeader     = 32 << 10
 	maxKeyBytes   = 200
 	headerTimeout = 10 * time.Second
-	// BodyTimeout is how long a body may take to come in.
+	// BodyTimeout is the time within which a body must arrive.
 	BodyTimeout = 30 * time.Second
-	// writeTimeout is how long one write to a caller may block.
+	// writeTimeout bounds one write to a caller.
 	writeTimeout = 10 * time.Second
 )
 
-// MaxOpen bounds the open requests of one process.
+// MaxOpen is the maximum number of open requests of one process.
 const MaxOpen = 20000
 
 type server struct {
@@ -45,7 +45,7 @@
 	bodyTimeout time.Duration
 }
 
-// Handler serves callers; bodyTimeout is how long a body may take to come in.
+// Handler serves callers; bodyTimeout is the time within which a body must arrive.
 func Handler(e *entry.Entry, log *slog.Logger, bodyTimeout time.Duration) http.Handler {
 	s := &server{entry: e, log: log, open: make(chan struct{}, MaxOpen), bodyTimeout: bodyTimeout}
 	r := echo.New()
@@ -66,7 +66,7 @@
 	}
 }
 
-// limit limits the open requests and the time that a body takes.
+// limit limits the open requests and the time in which a body must arrive.
 func (s *server) limit(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		select {
@@ -81,7 +81,7 @@
 	}
 }
 
-// grant finds what the caller's token allows.
+// grant returns what the caller's token permits.
 func (s *server) grant(c echo.Context) (settings.Grant, error) {
 	token, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
 	if ok {
@@ -94,52 +94,52 @@
 		}
 	}
 	event.BadToken.Log(s.log, "peer", c.RealIP())
-	return settings.Grant{}, fault.New(fault.Unauthorized, fault.StepAuth, "", "send a known token as Authorization: Bearer")
+	return settings.Grant{}, fault.New(fault.Unauthorized, fault.StepAuth, "", "send a valid token as Authorization: Bearer")
 }
 
-// idempotencyKey returns the Idempotency-Key.
+// idempotencyKey returns the Idempotency-Key header.
 func idempotencyKey(c echo.Context) (string, error) {
 	k := c.Request().Header.Get("Idempotency-Key")
 	if len(k) > maxKeyBytes {
-		return "", fault.New(fault.BadRequest, fault.StepParse, "", fmt.Sprintf("the Idempotency-Key is over %d bytes", maxKeyBytes))
+		return "", fault.New(fault.BadRequest, fault.StepParse, "", fmt.Sprintf("the Idempotency-Key exceeds %d bytes", maxKeyBytes))
 	}
 	return k, nil
 }
 
-// readBody reads the whole body within its bound.
+// readBody reads the complete body, up to MaxBody bytes.
 func readBody(c echo.Context) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response().Writer, c.Request().Body, MaxBody))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, fault.New(fault.PromptTooLong, fault.StepParse, "", fmt.Sprintf("the body is over %d bytes", MaxBody))
+		return nil, fault.New(fault.PromptTooLong, fault.StepParse, "", fmt.Sprintf("the body exceeds %d bytes", MaxBody))
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, fault.New(fault.BadRequest, fault.StepParse, "", "the body did not come in time")
+		return nil, fault.New(fault.BadRequest, fault.StepParse, "", "the body did not arrive in time")
 	case err != nil:
-		return nil, fault.New(fault.BadRequest, fault.StepParse, "", "the body broke off") // the cause names sockets
+		return nil, fault.New(fault.BadRequest, fault.StepParse, "", "the body is incomplete") // the cause would expose socket addresses
 	}
-	// The body is here; from now on a long wait is for the answer.
+	// The body is complete; from now on a long wait is for the answer.
 	_ = http.NewResponseController(c.Response().Writer).SetReadDeadline(time.Time{})
 	return data, nil
 }
 
-// Body is an error in the shape of the OpenAI API.
+// Body is an error in the format of the OpenAI API.
 type Body struct {
 	Error Error `json:"error"`
 }
 
-// Error is the inner part of an error body.
+// Error is the inner object of an error body.
 type Error struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
-	// NotRun tells that no engine or service was asked to do the work.
+	// NotRun reports that no engine or service was asked to do the work.
 	NotRun bool   `json:"not_run,omitempty"`
 	Step   string `json:"step,omitempty"`
 	Peer   string `json:"peer,omitempty"`
 }
 
-// errorBody returns what a caller sees of an error.
+// errorBody returns the error body for a caller.
 func errorBody(f *fault.Error) Body {
 	kind := "server_error"
 	if f.Code.Status < http.StatusInternalServerError {
@@ -163,7 +163,7 @@
 	_ = c.JSON(f.Code.Status, errorBody(f))
 }
 
-// isInputError tells whether a code blames what the caller sent.
+// isInputError reports whether a code blames the caller's input.
 func isInputError(c *fault.Code) bool {
 	clientError := c.Status >= http.StatusBadRequest && c.Status < http.StatusInternalServerError
 	return clientError && c.NotRun && c != fault.Unauthorized && c.Status != http.StatusTooManyRequests
@@ -181,7 +181,7 @@
 	return fault.From(err)
 }
 
-// setRetryAfter tells the caller of a refusal when to come back.
+// setRetryAfter sets the Retry-After header of a refusal.
 func setRetryAfter(c echo.Context, f *fault.Error) {
 	retry := f.Code.Status == http.StatusServiceUnavailable || f.Code.Status == http.StatusTooManyRequests
 	if !retry {
@@ -191,14 +191,14 @@
 	c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(int(seconds)))
 }
 
-// callerRequest is what each request of a caller brings.
+// callerRequest holds the token's grant, the key and the body of a request.
 type callerRequest struct {
 	grant settings.Grant
 	key   string
 	body  []byte
 }
 
-// read takes a request of a caller whose token is known.
+// read authenticates the caller and reads its request.
 func (s *server) read(c echo.Context) (callerRequest, error) {
 	var in callerRequest
 	var err error
@@ -232,9 +232,8 @@
 	return c.Blob(ans.Status, ans.Type, ans.Body)
 }
 
-// ServicePath returns the path and query that a service is called with. Which
-// calls may not be repeated goes by the path, so one that could be read in two
-// ways is refused.
+// ServicePath returns the path and query with which a service is called. The path
+// determines which calls must not be repeated, so an ambiguous path is refused.
 func ServicePath(u *url.URL, service string) (string, error) {
 	p := strings.TrimPrefix(u.Path, "/services/"+service)
 	clean := path.Clean(p)
@@ -242,7 +241,7 @@
 		clean += "/"
 	}
 	if p != clean || strings.ContainsAny(p, "\\;\x00") {
-		return "", fault.New(fault.BadRequest, fault.StepParse, "", "the path has empty parts, dots, or characters that are not carried")
+		return "", fault.New(fault.BadRequest, fault.StepParse, "", "the path has empty segments, dots, or unsupported characters")
 	}
 	return (&url.URL{Path: p, RawQuery: u.RawQuery}).RequestURI(), nil
 }
