--- a/operator/change_fuzz_test.go
+++ b/operator/change_fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// FuzzChange feeds the reader of an operator's change any body: it is refused as a bad
-// request, or has an ID and short notes.
+// FuzzChange feeds arbitrary bodies to the parser of an operator's change: each is refused as
+// a bad request, or has an ID and short notes.
 func FuzzChange(f *testing.F) {
 	for _, seed := range []string{`{"id":"c","base":3,"text":"a: 1","who":"w","note":"n","dry":true}`, `{"id":"c","other":1}`, `{"id":""}`, `null`, `{"base":-1}`, ""} {
 		f.Add([]byte(seed))
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator is the HTTP interface to operators: health, metrics, the
+// Package operator is the HTTP interface for operators: health, metrics, the
 // state dump, decision records and the settings tree.
 package operator
--- a/operator/evacuate.go
+++ b/operator/evacuate.go
@@ -23,8 +23,8 @@
 	return c.JSON(http.StatusOK, zones)
 }
 
-// evacuate begins or finishes the evacuation of a zone, and answers with what is evacuated then
-// as far as this replica knows.
+// evacuate starts or finishes the evacuation of a zone, and answers with the evacuated zones
+// that this replica has seen then.
 func (s *server) evacuate(c echo.Context, finished bool) error {
 	k, err := s.control()
 	if err != nil {
--- a/operator/server.go
+++ b/operator/server.go
@@ -23,11 +23,11 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Process is one role of this process, as operators see it.
+// Process is one role of this process, as shown to operators.
 type Process interface {
-	// Ready tells whether it can serve, and what hinders or degrades it.
+	// Ready reports whether it can serve, and what prevents or degrades that.
 	Ready() (bool, string)
-	// Dump returns its state, to be written as JSON.
+	// Dump returns its state, which is encoded as JSON.
 	Dump() any
 }
 
@@ -36,22 +36,22 @@
 	Explain(id string) (decision.Record, bool)
 }
 
-// Collector is a Process that brings its metrics up to date when asked.
+// Collector is a Process that updates its metrics on request.
 type Collector interface {
 	Collect()
 }
 
-// Options are what an operators' listener serves.
+// Options configure the operators' listener.
 type Options struct {
-	// Token is what operators present; empty lets everybody in, which the
-	// process settings allow on loopback only.
+	// Token is the operators' bearer token; empty accepts every request, which the
+	// process settings allow only on loopback.
 	Token string
 	// Processes are the roles by name.
 	Processes map[string]Process
 	// Control is the replica in this process, or nil.
 	Control *control.Control
 	Log     *slog.Logger
-	// Extra adds routes, for dev.
+	// Extra adds routes; used in dev.
 	Extra func(*echo.Echo)
 }
 
@@ -85,7 +85,7 @@
 	return r
 }
 
-// MetricsHandler serves the metrics alone, without a token, to whoever collects them.
+// MetricsHandler serves only the metrics, without a token.
 func MetricsHandler(o Options) http.Handler {
 	s := &server{o}
 	r := echo.New()
@@ -110,7 +110,7 @@
 	Step   string `json:"step,omitempty"`
 	Peer   string `json:"peer,omitempty"`
 	Detail string `json:"detail"`
-	// Since are the changes that a conflicting change lost against.
+	// Since are the changes that the refused change conflicts with.
 	Since []fleet.Past `json:"since,omitempty"`
 }
 
@@ -183,14 +183,14 @@
 		}
 	}
 	if len(found) == 0 {
-		return fault.New(fault.NotFound, fault.StepParse, "", "no record of this request here")
+		return fault.New(fault.NotFound, fault.StepParse, "", "this process has no record of the request")
 	}
 	return c.JSON(http.StatusOK, decision.Merge(found))
 }
 
 func (s *server) control() (*control.Control, error) {
 	if s.Control == nil {
-		return nil, fault.New(fault.NotFound, fault.StepSettings, "", "this process has no control role; ask one that has")
+		return nil, fault.New(fault.NotFound, fault.StepSettings, "", "this process has no control role; send the request to one that has")
 	}
 	return s.Control, nil
 }
@@ -250,7 +250,7 @@
 
 const maxNoteBytes = 1000
 
-// readChange reads a change of the settings.
+// readChange parses a change of the settings.
 func readChange(body io.Reader) (Change, error) {
 	var in Change
 	dec := json.NewDecoder(io.LimitReader(body, 2*settings.MaxBytes))
@@ -286,7 +286,7 @@
 	return c.JSON(http.StatusOK, out)
 }
 
-// NewServer returns an HTTP server with the bounds for operators.
+// NewServer returns an HTTP server with the timeouts for operators.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
 }
--- a/operator/upgrade.go
+++ b/operator/upgrade.go
@@ -25,7 +25,8 @@
 	return c.JSON(http.StatusOK, u)
 }
 
-// raise answers with the state after it: the version has risen, or Holds say why not.
+// raise answers with the resulting state: the version was raised, or Holds give the reasons
+// why not.
 func (s *server) raise(c echo.Context) error {
 	k, err := s.control()
 	if err != nil {
