--- a/wire/codec.go
+++ b/wire/codec.go
@@ -11,9 +11,9 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// MaxFrame is the maximum size of one frame in bytes. The largest frames carry prompts and
+// MaxFrameBytes is the maximum size of one frame in bytes. The largest frames carry prompts and
 // complete settings trees.
-const MaxFrame = 16 << 20
+const MaxFrameBytes = 16 << 20
 
 var (
 	encMode = must(cbor.CoreDetEncOptions().EncMode())
--- a/wire/link.go
+++ b/wire/link.go
@@ -117,7 +117,7 @@
 		_ = conn.CloseNow()
 		return nil, err
 	}
-	conn.SetReadLimit(MaxFrame)
+	conn.SetReadLimit(MaxFrameBytes)
 	return l, nil
 }
 
