--- a/app/dev.go
+++ b/app/dev.go
@@ -283,7 +283,7 @@
 	for name, a := range d.agents {
 		roles[name] = a
 	}
-	return operator.Handler(operator.Options{Processes: roles, Control: d.control, Log: d.opts.Log, Extra: d.faults})
+	return operator.Handler(operator.Options{Processes: roles, Control: d.control, Log: d.opts.Log, ExtraRoutes: d.faults})
 }
 
 // Hints writes what to try next.
--- a/operator/server.go
+++ b/operator/server.go
@@ -51,8 +51,8 @@
 	// Control is the replica in this process, or nil.
 	Control *control.Control
 	Log     *slog.Logger
-	// Extra adds routes; used in dev.
-	Extra func(*echo.Echo)
+	// ExtraRoutes adds routes; used in dev.
+	ExtraRoutes func(*echo.Echo)
 }
 
 type server struct {
@@ -79,8 +79,8 @@
 	g.GET("/v1/evacuations", s.listEvacuated)
 	g.POST("/v1/evacuations/:zone/start", func(c echo.Context) error { return s.evacuate(c, false) })
 	g.POST("/v1/evacuations/:zone/finish", func(c echo.Context) error { return s.evacuate(c, true) })
-	if o.Extra != nil {
-		o.Extra(r)
+	if o.ExtraRoutes != nil {
+		o.ExtraRoutes(r)
 	}
 	return r
 }
