--- a/backend/late_answer_test.go
+++ b/backend/late_answer_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestLateAnswerIsNotReturnedToNextRequest guards against a late answer to an earlier request on a kept
-// connection that is returned for a later request with another ID.
+// TestLateAnswerIsNotReturnedToNextRequest guards against a late answer to an earlier
+// request on a kept connection that is returned for a later request with another ID.
 func TestLateAnswerIsNotReturnedToNextRequest(t *testing.T) {
 	lateCase{"a request after a request", "one", "two"}.check(t)
 	t.Run("what follows", func(t *testing.T) {
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -134,7 +134,8 @@
 // echoTTL is how long a server counts as sending IDs after its last answer with an ID.
 const echoTTL = 10 * time.Minute
 
-// recordEcho records that an incarnation sent an answer with the ID of its request.
+// recordEcho records that an incarnation sent an answer with the ID of its request;
+// echoesIDs reports whether one did so within echoTTL.
 func (p *Pool) recordEcho(server string) {
 	if server == "" {
 		return
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -77,7 +77,7 @@
 	Finish string `json:"finish_reason,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Load is an engine's own load report, which is out of date on arrival.
+// Load is an engine's own load report; it lags behind the actual load.
 type Load struct {
 	Running int      `json:"running"`
 	Waiting int      `json:"waiting"`
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -31,8 +31,8 @@
 // about forty bytes.
 const maxBuildBytes = 64
 
-// maxHelloBytes bounds the frame of a hello, so that an unauthenticated peer can occupy
-// little memory: hellos have about a hundred bytes.
+// maxHelloBytes bounds the frame of a hello, so that a peer that has not identified
+// itself yet can occupy little memory: hellos have about a hundred bytes.
 const maxHelloBytes = 64 << 10
 
 // Roles that a Hello may name.
--- a/wire/limits.go
+++ b/wire/limits.go
@@ -10,7 +10,7 @@
 	// listed has none.
 	Asks   []LimitAsk   `cbor:"2,keyasint,omitempty"`
 	Tokens []LimitToken `cbor:"3,keyasint,omitempty"`
-	// Back are tokens that are returned unused.
+	// Back are tokens that their holder returns.
 	Back []LimitToken `cbor:"4,keyasint,omitempty"`
 	// Supply is the capacity of the limited servers of each service.
 	Supply []LimitSupply `cbor:"5,keyasint,omitempty"`
--- a/wire/message.go
+++ b/wire/message.go
@@ -63,7 +63,7 @@
 	Replicas *Replicas          `cbor:"34,keyasint,omitempty"`
 	Loads    *Loads             `cbor:"35,keyasint,omitempty"`
 	Use      *quota.UsageUpdate `cbor:"38,keyasint,omitempty"`
-	// Contents are the request contents during which servers have crashed.
+	// Contents are the request contents that were running when servers ended.
 	Contents []poison.Record `cbor:"39,keyasint,omitempty"`
 
 	Evacuated *Evacuated  `cbor:"40,keyasint,omitempty"`
@@ -237,7 +237,7 @@
 	Decode  map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Shares requests units of customers' limits from the issuer of the quota.
+// Shares requests units of customers' limits from the upstream process.
 type Shares struct {
 	Asks []quota.Ask `cbor:"1,keyasint"`
 }
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -33,7 +33,8 @@
 	// maxLoggedPeers bounds the remembered peers and ranges: several per process of the largest
 	// site. Beyond that the oldest is forgotten, and logged again if it returns.
 	maxLoggedPeers = 4096
-	// maxKeyName is the prefix of a peer's name that distinguishes it from others of its host.
+	// maxKeyName is the length of the prefix of a peer's name that distinguishes it from
+	// other peers of its host.
 	maxKeyName = 64
 )
 
