--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -9,7 +9,7 @@
 	"os/signal"
 	"syscall"
 
-	_ "github.com/ledgepin/ledgepin/internal/hangup/early" // the time before this package
+	_ "github.com/ledgepin/ledgepin/internal/hangup/prestart" // the time before this package
 )
 
 // C gets the signals. It holds one: what matters is that there was one.
--- a/internal/hangup/early/early.go
+++ b/internal/hangup/prestart/early.go
@@ -1,12 +1,12 @@
 //go:build cgo
 
-// Package early ignores SIGHUP from the time before the Go runtime starts, in a
+// Package prestart ignores SIGHUP from the time before the Go runtime starts, in a
 // process that serves. The runtime takes some milliseconds until a package can ask
 // for the signal, and until then it would end the process. Package hangup asks for
 // it afterwards, which ends the ignoring.
 //
 // A program that is built without cgo has the gap.
-package early
+package prestart
 
 /*
 #include <signal.h>
--- a/internal/hangup/early/none.go
+++ b/internal/hangup/prestart/none.go
@@ -1,3 +1,3 @@
 //go:build !cgo
 
-package early
+package prestart
