--- a/cli/cli.go
+++ b/cli/cli.go
@@ -18,7 +18,7 @@
 	"github.com/ledgepin/ledgepin/config"
 	"github.com/ledgepin/ledgepin/event"
 	"github.com/ledgepin/ledgepin/fault"
-	"github.com/ledgepin/ledgepin/internal/hangup"
+	"github.com/ledgepin/ledgepin/internal/sighup"
 	"github.com/ledgepin/ledgepin/metric"
 	"github.com/ledgepin/ledgepin/settings"
 )
@@ -148,7 +148,7 @@
 		return err
 	}
 	defer p.Close()
-	go p.Watch(ctx, c.Config, data, hangup.C)
+	go p.Watch(ctx, c.Config, data, sighup.C)
 	<-ctx.Done()
 	stop() // a second signal ends the process at once
 	p.Drain(context.WithoutCancel(ctx))
--- a/internal/hangup/hangup.go
+++ b/internal/sighup/hangup.go
@@ -1,15 +1,15 @@
-// Package hangup catches SIGHUP from the first moment of a process that serves.
+// Package sighup catches SIGHUP from the first moment of a process that serves.
 //
 // The signal tells such a process that its settings have changed, also while it
 // starts and while it stops, and would end it wherever nobody has asked for it.
-package hangup
+package sighup
 
 import (
 	"os"
 	"os/signal"
 	"syscall"
 
-	_ "github.com/ledgepin/ledgepin/internal/hangup/prestart" // the time before this package
+	_ "github.com/ledgepin/ledgepin/internal/sighup/prestart" // the time before this package
 )
 
 // C gets the signals. It holds one: what matters is that there was one.
