--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -10,7 +10,7 @@
 	"sort"
 	"time"
 
-	"github.com/ledgepin/ledgepin/internal/mix"
+	"github.com/ledgepin/ledgepin/internal/stablehash"
 	"github.com/ledgepin/ledgepin/ratelimit"
 	"github.com/ledgepin/ledgepin/registry"
 	"github.com/ledgepin/ledgepin/selfreport"
@@ -226,11 +226,11 @@
 }
 
 // rank returns a server's position in an order that differs from gateway to gateway.
-func (f *Fleet) rank(id string) uint64 { return mix.Pair(f.gatewayKey, mix.Name(id)) }
+func (f *Fleet) rank(id string) uint64 { return stablehash.Pair(f.gatewayKey, stablehash.Name(id)) }
 
 // NewFleet returns a fleet without servers, for the gateway with the given name in a zone.
 func NewFleet(name, zone string) *Fleet {
-	return &Fleet{gatewayKey: mix.Name(name), servers: map[string]*Server{}, incarnations: registry.NewIncarnations(), groupSizes: map[group]int{}, prefillRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, pendingLimits: map[string]ratelimit.Observation{}, roundTrips: map[string]time.Duration{}, Zone: zone, Others: OtherGateways{Gateways: 1, Known: 1}}
+	return &Fleet{gatewayKey: stablehash.Name(name), servers: map[string]*Server{}, incarnations: registry.NewIncarnations(), groupSizes: map[group]int{}, prefillRates: map[string]float64{}, meters: map[string]*ratelimit.Meter{}, pendingLimits: map[string]ratelimit.Observation{}, roundTrips: map[string]time.Duration{}, Zone: zone, Others: OtherGateways{Gateways: 1, Known: 1}}
 }
 
 // SetOthers sets what is known about the other gateways, and ejects servers that fail by all
--- a/dispatch/draw.go
+++ b/dispatch/draw.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/ledgepin/ledgepin/internal/mix"
+	"github.com/ledgepin/ledgepin/internal/stablehash"
 	"github.com/ledgepin/ledgepin/route"
 )
 
@@ -27,7 +27,7 @@
 		return true
 	}
 	interval := uint64(now.UnixNano() / int64(slotDrawInterval))
-	draw := mix.Pair(mix.Pair(f.gatewayKey, interval), mix.Name(s.ID))
+	draw := stablehash.Pair(stablehash.Pair(f.gatewayKey, interval), stablehash.Name(s.ID))
 	return float64(draw) < chance*math.MaxUint64
 }
 
--- a/dispatch/evidence.go
+++ b/dispatch/evidence.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"github.com/ledgepin/ledgepin/internal/mix"
+	"github.com/ledgepin/ledgepin/internal/stablehash"
 )
 
 // A server can pass its health checks and fail all its requests. In a large fleet each
@@ -188,6 +188,6 @@
 	if elapsed >= readmitTime {
 		return false
 	}
-	draw := mix.Pair(s.rank, uint64(now.UnixNano()/int64(readmitDrawInterval)))
+	draw := stablehash.Pair(s.rank, uint64(now.UnixNano()/int64(readmitDrawInterval)))
 	return float64(draw) >= float64(elapsed)/float64(readmitTime)*math.MaxUint64
 }
--- a/internal/mix/mix.go
+++ b/internal/stablehash/mix.go
@@ -1,6 +1,6 @@
-// Package mix turns names into numbers that look random and are the same in
+// Package stablehash turns names into numbers that look random and are the same in
 // every process.
-package mix
+package stablehash
 
 import "hash/fnv"
 
--- a/ratelimit/broker.go
+++ b/ratelimit/broker.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/ledgepin/ledgepin/internal/mix"
+	"github.com/ledgepin/ledgepin/internal/stablehash"
 )
 
 // Durations of a Broker.
@@ -147,10 +147,10 @@
 // ownedRate returns the share of a limit that a replica owns, in requests per second.
 func (b *Broker) ownedRate(replica, server string, rate float64) float64 {
 	owners := min(max(int(rate/ratePerOwner), 1), len(b.active))
-	key := mix.Name(server)
-	rank, ownHash := 0, mix.Pair(mix.Name(replica), key)
+	key := stablehash.Name(server)
+	rank, ownHash := 0, stablehash.Pair(stablehash.Name(replica), key)
 	for _, m := range b.active {
-		if m != replica && mix.Pair(mix.Name(m), key) < ownHash {
+		if m != replica && stablehash.Pair(stablehash.Name(m), key) < ownHash {
 			rank++
 		}
 	}
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -10,7 +10,7 @@
 import (
 	"math"
 
-	"github.com/ledgepin/ledgepin/internal/mix"
+	"github.com/ledgepin/ledgepin/internal/stablehash"
 )
 
 const (
@@ -28,7 +28,7 @@
 type Key uint64
 
 // KeyOf returns the key of a name.
-func KeyOf(name string) Key { return Key(mix.Name(name)) }
+func KeyOf(name string) Key { return Key(stablehash.Name(name)) }
 
 // subsetSize returns how many servers of a group a gateway sends requests to, on average.
 func subsetSize(size, gateways int) int {
@@ -43,7 +43,7 @@
 		return true
 	}
 	bound := float64(n) / float64(size) * math.MaxUint64
-	return float64(mix.Pair(uint64(gateway), uint64(server))) < bound
+	return float64(stablehash.Pair(uint64(gateway), uint64(server))) < bound
 }
 
 // GatewaysPerServer returns how many gateways send requests to a server of a group, on average.
--- a/warmup/broker.go
+++ b/warmup/broker.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/ledgepin/ledgepin/internal/mix"
+	"github.com/ledgepin/ledgepin/internal/stablehash"
 )
 
 // Durations of leases.
@@ -110,8 +110,8 @@
 // fewestLeases returns the gateway with the fewest leases. Ties are broken by a hash that differs
 // from server to server.
 func fewestLeases(c ColdServer, held map[string]int) string {
-	server := mix.Name(c.Server)
+	server := stablehash.Name(c.Server)
 	return slices.MinFunc(c.Gateways, func(a, b string) int {
-		return cmp.Or(cmp.Compare(held[a], held[b]), cmp.Compare(mix.Pair(mix.Name(a), server), mix.Pair(mix.Name(b), server)))
+		return cmp.Or(cmp.Compare(held[a], held[b]), cmp.Compare(stablehash.Pair(stablehash.Name(a), server), stablehash.Pair(stablehash.Name(b), server)))
 	})
 }
