--- a/internal/late/late.go
+++ b/internal/dupserver/late.go
@@ -1,6 +1,6 @@
-// Package late is an HTTP server for tests that sends each answer a second time, late: in
+// Package dupserver is an HTTP server for tests that sends each answer a second time, late: in
 // the place where the answer to the next request on the connection is due.
-package late
+package dupserver
 
 import (
 	"bufio"
