--- a/consensus/decode.go
+++ b/consensus/decode.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/ledgepin/ledgepin/internal/exact"
+	"github.com/ledgepin/ledgepin/internal/strictcbor"
 )
 
 // A replica stores and forwards what a leader wrote, so it accepts an entry or a snapshot only if
@@ -15,7 +15,7 @@
 // is set.
 func (e *Entry) UnmarshalCBOR(data []byte) error {
 	type plain Entry
-	if err := exact.Unmarshal(data, (*plain)(e)); err != nil {
+	if err := strictcbor.Unmarshal(data, (*plain)(e)); err != nil {
 		*e = Entry{DecodeErr: err}
 	}
 	return nil
@@ -25,7 +25,7 @@
 // DecodeErr is set.
 func (s *Snapshot) UnmarshalCBOR(data []byte) error {
 	type plain Snapshot
-	if err := exact.Unmarshal(data, (*plain)(s)); err != nil {
+	if err := strictcbor.Unmarshal(data, (*plain)(s)); err != nil {
 		*s = Snapshot{DecodeErr: err}
 	}
 	return nil
--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 
-	"github.com/ledgepin/ledgepin/internal/exact"
+	"github.com/ledgepin/ledgepin/internal/strictcbor"
 )
 
 func decode(data []byte, c *Change) error {
-	if err := exact.Unmarshal(data, c); err != nil {
+	if err := strictcbor.Unmarshal(data, c); err != nil {
 		return fmt.Errorf("fleet: bad command: %w", err)
 	}
 	return readVersion(c.Version)
@@ -18,7 +18,7 @@
 	if len(data) == 0 {
 		return in, nil
 	}
-	if err := exact.Unmarshal(data, &in); err != nil {
+	if err := strictcbor.Unmarshal(data, &in); err != nil {
 		return in, fmt.Errorf("fleet: bad snapshot: %w", err)
 	}
 	return in, readVersion(in.Version)
--- a/internal/exact/exact.go
+++ b/internal/strictcbor/strictcbor.go
@@ -1,6 +1,6 @@
-// Package exact decodes what replicas keep and agree on: all of it or nothing. A part that is
+// Package strictcbor decodes what replicas keep and agree on: all of it or nothing. A part that is
 // passed over would make replicas differ.
-package exact
+package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
 
--- a/wal/record.go
+++ b/wal/record.go
@@ -10,7 +10,7 @@
 
 	"github.com/ledgepin/ledgepin/compat"
 	"github.com/ledgepin/ledgepin/consensus"
-	"github.com/ledgepin/ledgepin/internal/exact"
+	"github.com/ledgepin/ledgepin/internal/strictcbor"
 )
 
 // record is the content of one append or of the snapshot file.
@@ -96,7 +96,7 @@
 	if head != magic && head != fencedMagic {
 		return r, newerBuildError(body, fmt.Errorf("unknown magic number %08x", head))
 	}
-	if err := exact.Unmarshal(body, &r); err != nil {
+	if err := strictcbor.Unmarshal(body, &r); err != nil {
 		return record{}, newerBuildError(body, err)
 	}
 	if head != r.headMagic() || r.Version > compat.Newest {
