--- a/internal/gate/gate.go
+++ b/internal/tcpproxy/tcpproxy.go
@@ -1,6 +1,6 @@
-// Package gate is a TCP forwarder for tests that cuts a link between two
+// Package tcpproxy is a TCP forwarder for tests that cuts a link between two
 // processes: in silence, as a broken network does, or by closing it.
-package gate
+package tcpproxy
 
 import (
 	"io"
