--- a/agent/call.go
+++ b/agent/call.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if a.engine == nil || !a.gate.Allow(m.Fence) {
-		event.OrderStale.Log(a.log, "order", m.ID, "term", m.Fence.Term, "seq", m.Fence.Seq)
+		event.OrderRefused.Log(a.log, "order", m.ID, "term", m.Fence.Term, "seq", m.Fence.Seq)
 		highest, _ := a.gate.Highest()
 		_ = l.Send(&wire.Message{Ordered: &order.Result{ID: m.ID, Detail: fault.StaleFence.ID, Fence: highest}})
 		return
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -32,7 +32,7 @@
 		a.voter.Bootstrap()
 		return
 	}
-	event.VoterCold.Log(a.log, "service", key.service, "site", key.site)
+	event.VoterRecovering.Log(a.log, "service", key.service, "site", key.site)
 	var peers []settings.PlacedServer
 	for _, name := range members {
 		if p, ok := tree.Server(name); ok && name != a.cfg.Name {
@@ -70,7 +70,7 @@
 		warm := v.Ready()
 		a.mu.Unlock()
 		if warm {
-			event.VoterWarm.Log(a.log)
+			event.VoterRecovered.Log(a.log)
 			return
 		}
 		wait.For(a.ctx, copyInterval)
--- a/agent/links.go
+++ b/agent/links.go
@@ -212,7 +212,7 @@
 	case spread.NeedFullText:
 		_ = l.Send(&wire.Message{Pull: &wire.Pull{}})
 	case spread.Invalid:
-		event.SettingsBad.Log(a.log, "peer", l.Peer.Name, "revision", m.Revision)
+		event.InvalidSettings.Log(a.log, "peer", l.Peer.Name, "revision", m.Revision)
 	case spread.Applied:
 		a.pulledAt = time.Time{}
 		event.SettingsInForce.Log(a.log, "revision", m.Revision)
--- a/agent/recover.go
+++ b/agent/recover.go
@@ -141,7 +141,7 @@
 	defer a.mu.Unlock()
 	changed := !a.engineOK || !slices.Equal(load.Assets, a.assets) || load.Role != a.role
 	if !a.engineOK {
-		event.EngineBack.Log(a.log)
+		event.EngineRecovered.Log(a.log)
 	}
 	a.engineOK, a.failedReports = true, 0
 	a.models, a.assets, a.role = load.Models, load.Assets, load.Role
--- a/agent/work.go
+++ b/agent/work.go
@@ -253,7 +253,7 @@
 		case e.Try == 1:
 			a.addStep(e.ID, decision.Cancelled, "")
 		default:
-			event.CancelRepeated.Log(a.log, "request", e.ID.Req, "try", e.Try)
+			event.CancelUnconfirmed.Log(a.log, "request", e.ID.Req, "try", e.Try)
 		}
 		if j := a.jobs[e.ID]; j != nil && j.cancel != nil {
 			j.cancel()
--- a/caller/server.go
+++ b/caller/server.go
@@ -93,7 +93,7 @@
 			return g, err
 		}
 	}
-	event.BadToken.Log(s.log, "peer", c.RealIP())
+	event.UnknownToken.Log(s.log, "peer", c.RealIP())
 	return settings.Grant{}, fault.New(fault.Unauthorized, fault.StepAuth, "", "send a valid token as Authorization: Bearer")
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -165,7 +165,7 @@
 		cfg: cfg, clock: cfg.Clock, log: cfg.Log.With("role", "control", "name", cfg.Name), epoch: clock.WallTime().UnixNano(),
 		ctx: ctx, cancel: cancel, state: fleet.New(), waiters: map[string][]chan fleet.Result{},
 		peerLinks: map[string]*peerLink{}, downstream: map[*wire.Link]bool{}, connected: map[string]int{}, replicaLinks: map[*wire.Link]bool{}, lastHello: map[string]wire.Hello{}, requiredVersion: compat.Base, askedToFound: map[string]bool{}, zoneSummaries: map[string]*wire.Summary{},
-		quotaBroker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.QuotaBounds), rejectionLog: event.Limiter{Every: rejectionLogEvery, Most: maxRejectionLogKeys},
+		quotaBroker: quota.NewBroker(), hub: newHub(cfg.Clock, cfg.Zone, cfg.QuotaBounds), rejectionLog: event.Limiter{Interval: rejectionLogEvery, MaxKeys: maxRejectionLogKeys},
 	}
 	c.dialer.Log, c.hub.log = c.log, c.log
 	c.hub.name, c.hub.coldBounds, c.hub.parseTable = cfg.Name, cfg.ColdBounds, cfg.ParseTable
@@ -213,7 +213,7 @@
 	j, o, err := wal.OpenChecked(c.cfg.Dir, c.cfg.OpenFile, fleet.CheckSnapshot)
 	if err != nil {
 		if !fault.Is(err, fault.JournalNewer) {
-			event.JournalBroken.Log(c.log, "error", fault.From(err))
+			event.JournalCorrupt.Log(c.log, "error", fault.From(err))
 		}
 		return nil, consensus.Restored{}, false, err
 	}
--- a/control/disk.go
+++ b/control/disk.go
@@ -100,7 +100,7 @@
 		event.JournalFailed.Log(c.log, "error", fault.From(err))
 		return
 	}
-	event.JournalBack.Log(c.log, "term", c.node.Term())
+	event.JournalRecovered.Log(c.log, "term", c.node.Term())
 }
 
 // rewriteDisk writes and syncs again what was read: after a failed sync, the files may show
--- a/control/hub_table.go
+++ b/control/hub_table.go
@@ -49,7 +49,7 @@
 	}
 	parsed, err := h.parseTable(kept.Source)
 	if err != nil || parsed.Validate() != nil || parsed.Version != kept.Version {
-		event.TableReadAnew.Log(h.log, "version", kept.Version, "error", err)
+		event.TableDocumentUnreadable.Log(h.log, "version", kept.Version, "error", err)
 		return *kept
 	}
 	return *parsed
--- a/control/state_files.go
+++ b/control/state_files.go
@@ -64,9 +64,9 @@
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
-			event.KnownFailed.Log(c.log, "step", "read", "file", f.name, "error", fault.From(err))
+			event.StateFileFailed.Log(c.log, "step", "read", "file", f.name, "error", fault.From(err))
 		default:
-			event.KnownRead.Log(c.log, "file", f.name, "entries", n)
+			event.StateRestored.Log(c.log, "file", f.name, "entries", n)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 			f.markUnsaved()
 		}
 		if err != nil && !failing {
-			event.KnownFailed.Log(c.log, "step", "write", "file", f.name, "error", fault.From(err))
+			event.StateFileFailed.Log(c.log, "step", "write", "file", f.name, "error", fault.From(err))
 		}
 		failing = err != nil
 	})
--- a/control/unreadable.go
+++ b/control/unreadable.go
@@ -46,7 +46,7 @@
 func (c *Control) recordUnreadable(what string, err error) {
 	c.stopReason = "the replica holds data written by a newer build: " + err.Error()
 	metric.Unread.WithLabelValues(what).Inc()
-	event.DataNewer.Log(c.log, "what", what, "error", err)
+	event.NewerDataFormat.Log(c.log, "what", what, "error", err)
 }
 
 // checkReadable returns an error if this build can't read something in a packet. This includes
@@ -74,6 +74,6 @@
 func (c *Control) rejectPacket(now time.Time, l *wire.Link, err error) {
 	metric.Unread.WithLabelValues(unreadablePacket).Inc()
 	if c.rejectionLog.Allow(now, unreadablePacket+" "+l.Peer.Name) {
-		event.PacketNewer.Log(c.log, "peer", l.Peer.Name, "error", err)
+		event.NewerPacketFormat.Log(c.log, "peer", l.Peer.Name, "error", err)
 	}
 }
--- a/control/versions.go
+++ b/control/versions.go
@@ -36,7 +36,7 @@
 func (c *Control) addReplicaLink(l *wire.Link) bool {
 	if !l.Peer.Range().Contains(c.requiredVersion) {
 		if c.rejectionLog.Allow(c.clock.Now(), "version "+l.Peer.Name) {
-			event.ReplicaApart.Log(c.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Peer.Range().String(), "version", c.requiredVersion)
+			event.IncompatibleReplica.Log(c.log, "peer", l.Peer.Name, "build", l.Peer.Build, "speaks", l.Peer.Range().String(), "version", c.requiredVersion)
 		}
 		return false
 	}
--- a/entry/borrow.go
+++ b/entry/borrow.go
@@ -79,7 +79,7 @@
 		remaining[p.Role]--
 		if _, ok := e.borrowed[p.Name]; !ok {
 			changed = true
-			event.Borrowed.Log(e.log, "server", p.Name, "zone", zone, "model", model)
+			event.ServerBorrowed.Log(e.log, "server", p.Name, "zone", zone, "model", model)
 		}
 		e.borrowed[p.Name] = now.Add(borrowDuration)
 	}
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -258,7 +258,7 @@
 		}
 		ans, ok := e.sendCall(ctx, lease.ID{Req: id, Attempt: uint32(try + 1)}, name, c, svc, true)
 		if !ok || ans.Sent && ans.Detail != "" {
-			event.ClaimUnknown.Log(e.log, "request", id, "server", name)
+			event.ClaimOutcomeUnknown.Log(e.log, "request", id, "server", name)
 			e.addStep(id, c, decision.Step{Kind: decision.Failure, Server: name, Detail: "sent, but no answer was received"})
 			return nil, fault.New(fault.OutcomeUnknown, fault.StepCall, name, "the call was sent, but no answer was received")
 		}
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -243,7 +243,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.flows[f.ID] == f {
-		event.CallerGone.Log(e.log, "request", f.ID)
+		event.CallerDisconnected.Log(e.log, "request", f.ID)
 		e.abort(clock.VM.Now(), f, fault.CallerGone)
 	}
 }
@@ -251,7 +251,7 @@
 // abort cancels a request and ends its answer with an error.
 func (e *Entry) abort(now time.Time, f *Flow, code *fault.Code) {
 	if code == fault.CallerSlow {
-		event.CallerSlow.Log(e.log, "request", f.ID)
+		event.SlowCallerDisconnected.Log(e.log, "request", f.ID)
 	}
 	e.perform(now, e.core.Cancel(now, f.ID))
 	e.endFlow(f, fault.New(code, fault.StepStream, "caller", code.Text))
--- a/entry/leaving.go
+++ b/entry/leaving.go
@@ -22,7 +22,7 @@
 	for e.ctx.Err() == nil {
 		vms, err := e.listVMs(c)
 		if err != nil && !failing && e.ctx.Err() == nil {
-			event.PlatformLost.Log(e.log, "error", fault.From(err))
+			event.PlatformUnreachable.Log(e.log, "error", fault.From(err))
 		}
 		failing = err != nil
 		if err == nil {
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -33,7 +33,7 @@
 		err = e.store.Load(rev, text)
 	}
 	if err != nil {
-		event.SettingsBad.Log(e.log, "error", err)
+		event.InvalidSettings.Log(e.log, "error", err)
 	}
 }
 
@@ -45,7 +45,7 @@
 	case spread.NeedFullText:
 		_ = l.Send(&wire.Message{Pull: &wire.Pull{}})
 	case spread.Invalid:
-		event.SettingsBad.Log(e.log, "peer", l.Peer.Name, "revision", m.Revision)
+		event.InvalidSettings.Log(e.log, "peer", l.Peer.Name, "revision", m.Revision)
 	case spread.Applied:
 		e.activateSettings(now)
 	case spread.Stale:
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -8,7 +8,7 @@
 func Catalogue() []*Event { return catalogue }
 
 func define(id string, sev slog.Level, title, text, todo string) *Event {
-	e := &Event{ID: id, Title: title, Text: text, Todo: todo, Since: "0.1", Severity: sev}
+	e := &Event{ID: id, Title: title, Text: text, Action: todo, Since: "0.1", Severity: sev}
 	catalogue = append(catalogue, e)
 	return e
 }
@@ -61,12 +61,12 @@
 		"Many target_out_of_reach or queue_full refusals mean that the pools are too small.")
 	RequestFailed = define("LP2002", warn, "request failed",
 		"A request ran and has no whole answer.", "Run `ledgepin explain` with the request ID.")
-	RequestDone = define("LP2003", info, "request done", "A request got its whole answer.", nothing)
-	CallerGone  = define("LP2004", info, "caller gone",
+	RequestDone        = define("LP2003", info, "request done", "A request got its whole answer.", nothing)
+	CallerDisconnected = define("LP2004", info, "caller gone",
 		"The caller closed its connection; its work was cancelled at the engines.", nothing)
-	CallerSlow = define("LP2005", warn, "caller cut off",
+	SlowCallerDisconnected = define("LP2005", warn, "caller cut off",
 		"The caller read so slowly that its buffer filled up.", "Look at the caller's network.")
-	BadToken = define("LP2006", warn, "token not known",
+	UnknownToken = define("LP2006", warn, "token not known",
 		"A caller, an operator or a peer came without a known token.",
 		"If it is one of yours, check its token and the settings.")
 	BadInput = define("LP2007", info, "bad input",
@@ -78,8 +78,8 @@
 		"Get the newest revision and apply the change to it.")
 )
 
-// NoRoom tells why a request of an engine's service found no place.
-var NoRoom = define("LP2011", info, "no place for a request",
+// NoCapacity tells why a request of an engine's service found no place.
+var NoCapacity = define("LP2011", info, "no place for a request",
 	"No engine took a request. The rule that decided is named, and ruled counts the engines that each rule kept it from: leaving, blocked (failed lately), slots, memory now, memory (before the end of the runs), turn (room that another gateway's request is to have), late read (room, but the prompt would be read too late). read_ms is the least time in which the prompt would be read, queued the requests that wait at other gateways, waited_ms the time since it came; prefills and decodes are the sends that were turned away.",
 	"Many by memory: the service needs more engines, or fewer that read prompts. Many by late read: it needs more of these.")
 
@@ -88,8 +88,8 @@
 	"A request was refused since its organisation has used its limit: rate and burst are the limit, used is what was counted of the room that it gives (the burst and a part of the slack), size what the request counts. told_ms is how long ago this gateway heard what the others have used; if it is cut_off, used and room are those of its own part.",
 	"Raise the limit of the organisation, if that is what it is to have. Many with cut_off: look at the links to control.")
 
-// NoHold tells that a decode engine set no room aside.
-var NoHold = define("LP2013", info, "no room held",
+// HoldFailed tells that a decode engine set no room aside.
+var HoldFailed = define("LP2013", info, "no room held",
 	"A decode engine that was chosen has no free slot or memory (status 503), or could not be asked (error); another one is looked for before the prompt is read.",
 	"Many with status 503: the decode engines are full.")
 
@@ -98,8 +98,8 @@
 	"The run of a stream was to go on at another engine with its KV cache, since its own was almost full or leaves; the outcome tells whether it did.",
 	"Many that stayed: the engines are full, or their links slow; the error tells.")
 
-// StreamGoesOn tells that a stream that broke off is asked for anew.
-var StreamGoesOn = define("LP2021", info, "stream goes on",
+// StreamResumed tells that a stream that broke off is asked for anew.
+var StreamResumed = define("LP2021", info, "stream goes on",
 	"A stream broke off and is asked for anew after the last event that its caller has. last is the ID of that event, resumed tells that the caller had a part of the answer before this request, and moved how often the run had gone on at another engine with its KV cache.",
 	"Many from one server: look at the server.")
 
@@ -108,13 +108,13 @@
 	"An engine sent an event that its caller has (repeated), or left events out before it (missing). The caller does not get it. After a missing one the stream is taken up again after the last event, or cut where its route does not allow that. due is the number that was due, came the ID that came, last the last event that the caller has. One line for each stream of an engine; a metric counts the events.",
 	"Many from one server: it continues streams at another event than it is asked for.")
 
-// PromptWasted is a prompt that was read and whose answer did not become whole.
-var PromptWasted = define("LP2015", info, "prompt read for nothing",
+// PrefillWasted is a prompt that was read and whose answer did not become whole.
+var PrefillWasted = define("LP2015", info, "prompt read for nothing",
 	"An engine read a prompt, and the run that it was for did not end well; the cause tells why.",
 	"Many of `refused`: look at the decode engines. Many of `engine lost`: look at the engines that the line names.")
 
-// KeptUnknown tells that an engine did not say which prompts it keeps.
-var KeptUnknown = define("LP2016", info, "kept prompts not known",
+// CachedPromptsUnknown tells that an engine did not say which prompts it keeps.
+var CachedPromptsUnknown = define("LP2016", info, "kept prompts not known",
 	"An engine did not tell which prompts it keeps, so a request that comes again may be read there anew.",
 	"Many at one engine: look at it. Many at all: lists take longer than they are waited for.")
 
@@ -127,8 +127,8 @@
 	"A gateway's request to a backend server was turned away, broke off or was too late; the kind tells which. pause_ms is how long the server still wanted no requests when it was chosen; it must be zero.",
 	"Many from one server: look at the server.")
 
-// ServerEnded tells that a server was not there any more after a request had broken off.
-var ServerEnded = define("LP2018", warn, "server ended under a request",
+// ServerCrashed tells that a server was not there any more after a request had broken off.
+var ServerCrashed = define("LP2018", warn, "server ended under a request",
 	"A request broke off at a server, and the server was not there just after, or had started again. The content names what was asked: lines with the same content are the same request, also under other IDs and at other gateways. made is how many tokens of the answer there were.",
 	"One content at several servers with made 0: the request itself may end them. Many contents at one server: it ended with all that it ran.")
 
@@ -146,13 +146,13 @@
 	"A server names in its answers the requests a second that it takes from all gateways together (rate), or has ended that (ended). by tells whether this gateway was told by the server itself or by another process, sent is how many requests went from this gateway to the server while the limit held.",
 	"A server in need: look at it. Many of one service: it needs more servers.")
 
-// MemoryFull tells that a request was refused for want of memory.
-var MemoryFull = define("LP2025", warn, "no memory for a request",
+// MemoryLimitReached tells that a request was refused for want of memory.
+var MemoryLimitReached = define("LP2025", warn, "no memory for a request",
 	"A gateway holds as much for its callers as the settings allow, and refused a request; held is in bytes, waits how often an answer had to wait for memory since the start. At most one line in ten seconds; a metric counts the requests.",
 	"Look for callers who read slowly (LP2005). Else raise gateway.held, or give the gateway more memory.")
 
-// ServerReportUnread tells that what a server says of itself can't be read.
-var ServerReportUnread = define("LP2024", warn, "report of a server can't be read",
+// ServerReportUnreadable tells that what a server says of itself can't be read.
+var ServerReportUnreadable = define("LP2024", warn, "report of a server can't be read",
 	"A field of an answer in which a server says something of itself has a value that can't be read, or two that differ: limit (requests a second), retry_after (seconds or a date), leaving (0 or 1), cold (milliseconds). What was known before holds. One line a minute for each server and field; a metric counts the answers.",
 	"Look at the server.")
 
@@ -161,8 +161,8 @@
 	"A server said in an answer that it wants no requests of this gateway for a time (field retry_after, pause_ms) or that it takes no new work (field leaving). age_ms is how long before its request was sent: the server said it since then.",
 	"A server in need: look at it. Many of one service: it needs more servers.")
 
-// PauseOver tells that a server gets requests again.
-var PauseOver = define("LP2027", info, "pause of a server over",
+// ServerPauseEnded tells that a server gets requests again.
+var ServerPauseEnded = define("LP2027", info, "pause of a server over",
 	"The time is over for which a server wanted no requests of this gateway. It gets few at first, and more as it serves them.", nothing)
 
 // Links between processes.
@@ -176,7 +176,7 @@
 		"Check that nothing else uses the address.")
 	PeerRefused = define("LP3004", warn, "peer refused",
 		"A process without the peer token tried to open a link.", "Check the token files.")
-	VersionsApart = define("LP3005", warn, "versions apart",
+	NoCommonVersion = define("LP3005", warn, "versions apart",
 		"A peer speaks no version of the protocol that this process speaks, so there is no link. It is told once for each peer and range; the link is tried again with pauses of up to 5 s.",
 		"Replace the older of the two: builds go together with those of the two landings before them (docs/OPERATIONS.md, Upgrading).")
 	UnknownFields = define("LP3006", info, "unknown fields",
@@ -187,8 +187,8 @@
 var (
 	EngineLost = define("LP4001", fail, "engine lost",
 		"The engine beside the agent does not answer.", "Look at the engine; the agent goes on by itself when it is back.")
-	EngineBack     = define("LP4002", info, "engine back", "The engine answers again.", nothing)
-	CancelRepeated = define("LP4003", warn, "cancel not confirmed",
+	EngineRecovered   = define("LP4002", info, "engine back", "The engine answers again.", nothing)
+	CancelUnconfirmed = define("LP4003", warn, "cancel not confirmed",
 		"The engine has not confirmed a cancel; it is repeated until it does.",
 		"If it goes on, restart the engine: its slot stays in use.")
 	LeaseExpired = define("LP4004", warn, "lease expired",
@@ -202,11 +202,11 @@
 		"Look at what writes at the address. An earlier start whose server is up: its clock was set back between two starts; set it right and start the server again.")
 	ServerLeaving = define("LP4007", info, "server leaving",
 		"A backend server is leaving and gets no new work.", nothing)
-	Borrowed = define("LP4011", info, "server borrowed",
+	ServerBorrowed = define("LP4011", info, "server borrowed",
 		"The entry's own availability zone is short of a model, so it uses a server of another one for a while.",
 		"If it happens often, the zone's pool is too small.")
-	OrderDone  = define("LP4008", info, "order carried out", "The engine has carried out an order of control.", nothing)
-	OrderStale = define("LP4009", warn, "order refused",
+	OrderDone    = define("LP4008", info, "order carried out", "The engine has carried out an order of control.", nothing)
+	OrderRefused = define("LP4009", warn, "order refused",
 		"An order came with a fence that is too low, or before the fence was known.",
 		"A cut-off control leader may still be sending; it stops by itself.")
 	OrderFailed = define("LP4010", fail, "order failed", "The engine could not carry out an order.", "Look at the engine's log.")
@@ -219,11 +219,11 @@
 
 // Claims.
 var (
-	VoterCold = define("LP5001", info, "claim voter recovers",
+	VoterRecovering = define("LP5001", info, "claim voter recovers",
 		"A claim voter has started without memory and copies from its group before it votes.",
 		"If it stays so, at least one other member of the group is out of reach.")
-	VoterWarm    = define("LP5002", info, "claim voter votes", "A claim voter has recovered and votes.", nothing)
-	ClaimUnknown = define("LP5003", warn, "outcome unknown",
+	VoterRecovered      = define("LP5002", info, "claim voter votes", "A claim voter has recovered and votes.", nothing)
+	ClaimOutcomeUnknown = define("LP5003", warn, "outcome unknown",
 		"A call that may not be repeated was sent and its answer is not known.",
 		"Ask the service what became of the key.")
 )
@@ -235,47 +235,47 @@
 		"This control replica leads no more: it lost its majority or saw a newer term.", nothing)
 	JournalTorn = define("LP6003", warn, "torn tail cut",
 		"The end of the journal was half written, as after a power cut; it was cut off.", nothing)
-	JournalBroken = define("LP6004", fail, "journal broken",
+	JournalCorrupt = define("LP6004", fail, "journal broken",
 		"The journal is damaged before its end; the replica does not start.",
 		"Replace the replica: empty its data folder and give it a new name in the settings.")
 	JournalFailed = define("LP6005", fail, "journal failed",
 		"The disk refused a write or a sync; the replica gave up its vote.", "Replace the disk or make room, then restart.")
-	JournalBack = define("LP6012", info, "journal back",
+	JournalRecovered = define("LP6012", info, "journal back",
 		"The disk takes writes again; the replica takes part with what the disk holds.", nothing)
-	DataNewer = define("LP6015", fail, "written by a newer build",
+	NewerDataFormat = define("LP6015", fail, "written by a newer build",
 		"The replica holds what this build can't read. It has stopped and gave up its vote, and has changed nothing; it does not come back by itself.",
 		"Run the newer build on this data. To go back for good, see OPERATIONS.md, Upgrading.")
 	VersionRaised = define("LP6017", info, "the fleet's version has risen",
 		"All members of control read the new version, and what came with it may be written from now on. Builds that do not read it are refused from now on, and refuse this replica's data.",
 		nothing)
-	ReplicaApart = define("LP6018", warn, "replica of another version refused",
+	IncompatibleReplica = define("LP6018", warn, "replica of another version refused",
 		"A replica does not read what this one holds, so it gets nothing and is not heard. One line a minute for each replica.",
 		"Run a build there that reads the fleet's version: ledgepin upgrade status.")
 	ZoneEvacuated = define("LP6019", info, "evacuation of an availability zone",
 		"An operator's order is in force here: the servers of the zone get no new work, or may get it again if finished is true. Requests under way there end as usual.",
 		"Once the zone's requests have ended, ledgepin dump at its gateways shows none open; then it may be switched off.")
-	TableReadAnew = define("LP6021", warn, "document of a table not readable",
+	TableDocumentUnreadable = define("LP6021", warn, "document of a table not readable",
 		"The replica can't read the document that the newest table was made from, as when a newer build has taken it. Gateways get what the log has of it: regions and cold servers may be missing.",
 		"Run the newer build here too.")
-	StoodStill = define("LP6020", warn, "the process stood still",
+	ProcessSuspended = define("LP6020", warn, "the process stood still",
 		"The process did nothing for ms milliseconds, as when its VM is suspended. It opens its links to control anew, and new requests wait for a moment until it has heard the newest settings and evacuations.",
 		"Look at the VM if it was not suspended on purpose.")
-	PacketNewer = define("LP6016", warn, "packet of a newer build refused",
+	NewerPacketFormat = define("LP6016", warn, "packet of a newer build refused",
 		"Another replica sent an entry or a snapshot that this build can't read; nothing of it was taken. One line a minute for each sender.",
 		"Run the newer build here too.")
-	KnownRead = define("LP6013", info, "known before",
+	StateRestored = define("LP6013", info, "known before",
 		"The replica starts with what it knew before, of the file that is named: servers count as there for some seconds, unless they say otherwise.", nothing)
-	KnownFailed = define("LP6014", warn, "not kept beside the log",
+	StateFileFailed = define("LP6014", warn, "not kept beside the log",
 		"What the replica knows of servers or of blocked contents could not be read or written; after a loss of power servers are known once they report themselves, and contents once gateways tell of them.",
 		"Make room on the disk, or replace it.")
 	SettingsInForce = define("LP6006", info, "settings in force", "A new revision of the settings is in force here.", nothing)
-	SettingsBad     = define("LP6007", fail, "settings not usable",
+	InvalidSettings = define("LP6007", fail, "settings not usable",
 		"Settings came that do not parse or have another hash.", "Check that all processes run versions that go together.")
 	SettingsUnconfirmed = define("LP6008", warn, "settings unconfirmed",
 		"The process acts on the settings of its site's peers, because control is out of reach.",
 		"Restore the link to control; the site catches up by itself.")
-	MembersChanged = define("LP6009", info, "control members changed", "The membership of control has changed.", nothing)
-	SnapshotTaken  = define("LP6010", debug, "snapshot taken", "The replicated log was cut after a snapshot.", nothing)
-	PlatformLost   = define("LP6011", warn, "platform list out of reach",
+	MembersChanged      = define("LP6009", info, "control members changed", "The membership of control has changed.", nothing)
+	SnapshotTaken       = define("LP6010", debug, "snapshot taken", "The replicated log was cut after a snapshot.", nothing)
+	PlatformUnreachable = define("LP6011", warn, "platform list out of reach",
 		"The platform's list of VMs can't be read; the last one is used.", "Look at the platform.")
 )
--- a/event/event.go
+++ b/event/event.go
@@ -16,7 +16,7 @@
 	// Text tells what happened.
 	Text string
 	// Todo tells an operator what to do about it.
-	Todo string
+	Action string
 	// Since is the first version that writes it.
 	Since string
 	// Severity is the level that the line is logged at.
@@ -38,7 +38,7 @@
 	}
 	for _, e := range Catalogue() {
 		_, err := fmt.Fprintf(w, "\n## %s: %s\n\n%s\n\n- Severity: %s\n- Since: %s\n- What to do: %s\n",
-			e.ID, e.Title, e.Text, e.Severity, e.Since, e.Todo)
+			e.ID, e.Title, e.Text, e.Severity, e.Since, e.Action)
 		if err != nil {
 			return err
 		}
--- a/event/limiter.go
+++ b/event/limiter.go
@@ -10,8 +10,8 @@
 type Limiter struct {
 	// Every is the least time between two lines about one thing, Most the things of
 	// which lines are written in that time.
-	Every time.Duration
-	Most  int
+	Interval time.Duration
+	MaxKeys  int
 
 	mu   sync.Mutex
 	last map[string]time.Time
@@ -21,16 +21,16 @@
 func (l *Limiter) Allow(now time.Time, thing string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at, told := l.last[thing]; told && now.Sub(at) < l.Every {
+	if at, told := l.last[thing]; told && now.Sub(at) < l.Interval {
 		return false
 	}
-	if len(l.last) >= l.Most {
+	if len(l.last) >= l.MaxKeys {
 		for other, at := range l.last {
-			if now.Sub(at) >= l.Every {
+			if now.Sub(at) >= l.Interval {
 				delete(l.last, other)
 			}
 		}
-		if len(l.last) >= l.Most {
+		if len(l.last) >= l.MaxKeys {
 			return false
 		}
 	}
--- a/gateway/buffer.go
+++ b/gateway/buffer.go
@@ -154,7 +154,7 @@
 func (g *Gateway) refuseNoMemory(q *request) *refusal {
 	metric.MemoryRefusals.WithLabelValues(q.route.Name).Inc()
 	if g.memoryFull.Allow(g.clock.Now(), "full") {
-		event.MemoryFull.Log(g.log, "held", g.memory.Held(), "waits", g.memory.Waits())
+		event.MemoryLimitReached.Log(g.log, "held", g.memory.Held(), "waits", g.memory.Waits())
 	}
 	return &refusal{
 		route: q.route.Name, status: http.StatusServiceUnavailable, reason: "no memory for the request now",
--- a/gateway/check_server.go
+++ b/gateway/check_server.go
@@ -37,7 +37,7 @@
 		if err == nil || g.ctx.Err() != nil {
 			return
 		}
-		event.ServerEnded.Log(g.log, "id", q.id, "content", failure.content.String(), "server", s.StableName(), "phase", s.Role, "made", generated, "error", err)
+		event.ServerCrashed.Log(g.log, "id", q.id, "content", failure.content.String(), "server", s.StableName(), "phase", s.Role, "made", generated, "error", err)
 		g.contents.noteCrash(failure, s.ID)
 	})
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -67,7 +67,7 @@
 		g.fleet.endRequest(s.ID, outcomeOf(ctx, last), g.clock.Since(started))
 		g.noteSend(ctx, q, &s, last, g.clock.Since(started))
 		if ctx.Err() == context.Canceled {
-			event.CallerGone.Log(g.log, "id", q.id)
+			event.CallerDisconnected.Log(g.log, "id", q.id)
 			return
 		}
 		if last.kind == answered && last.status < http.StatusInternalServerError {
@@ -253,7 +253,7 @@
 	size := r.body.size
 	q.memory.StartWriting()
 	if err := writeAnswer(w, q.memory, &r.body); err != nil {
-		event.CallerSlow.Log(g.log, "id", q.id, "bytes", size, "error", err)
+		event.SlowCallerDisconnected.Log(g.log, "id", q.id, "bytes", size, "error", err)
 		panic(http.ErrAbortHandler)
 	}
 	metric.RouteRequests.WithLabelValues(q.route.Name, strconv.Itoa(r.status)).Inc()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -102,8 +102,8 @@
 		privateHeaders: cfg.Protocol.Headers.Private(), serverHeaders: canonicalNames(cfg.Protocol.Headers.ForServers()), tableReady: make(chan struct{}), pool: backend.NewPool(), fleet: newFleet(cfg.Clock, cfg.Name, cfg.Zone, cfg.Zones, cfg.Retry), cached: map[string]*cachedPrompts{}, cacheListTimeout: cacheListTimeout,
 		limits: newLimits(cfg.Clock, cfg.Quota), contents: newContents(cfg.Clock, log), checkWait: checkWait,
 		memory:        membudget.New(cfg.Memory, callerTimeout, cfg.Clock.Now),
-		memoryFull:    event.Limiter{Every: memoryFullLogInterval, Most: 1},
-		unreadReports: event.Limiter{Every: time.Minute, Most: maxReportLines},
+		memoryFull:    event.Limiter{Interval: memoryFullLogInterval, MaxKeys: 1},
+		unreadReports: event.Limiter{Interval: time.Minute, MaxKeys: maxReportLines},
 	}
 	g.pool.OnConnect = g.fleet.noteConnect
 	g.pool.Admit = g.fleet.admit
@@ -229,7 +229,7 @@
 			now := g.clock.Now()
 			g.pool.Sweep(now)
 			for _, s := range g.fleet.sweep(now) {
-				event.PauseOver.Log(g.log, "server", s.StableName(), "service", s.Service)
+				event.ServerPauseEnded.Log(g.log, "server", s.StableName(), "service", s.Service)
 			}
 			g.contents.sweep(now)
 		}
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -70,7 +70,7 @@
 			q.work.Cached = g.findCached(q)
 		}
 		if n.stream.started {
-			event.StreamGoesOn.Log(g.log, "id", q.id, "last", n.stream.order.Last(), "resumed", q.resumed, "moved", n.migrations.count, "error", last.err)
+			event.StreamResumed.Log(g.log, "id", q.id, "last", n.stream.order.Last(), "resumed", q.resumed, "moved", n.migrations.count, "error", last.err)
 		}
 		if round > 0 && !g.narrowRegions(q) || !n.place(ctx) {
 			if round == 0 {
@@ -199,7 +199,7 @@
 
 func (n *generation) noteWasted(cause string) {
 	metric.WastedTokens.WithLabelValues(n.q.service.Name, cause).Add(float64(n.kv.Tokens))
-	event.PromptWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Generated,
+	event.PrefillWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Generated,
 		"prefill", n.kvSource.StableName(), "decode", n.pair.Decode.StableName())
 }
 
@@ -231,7 +231,7 @@
 func (n *generation) conclude(ctx context.Context, w http.ResponseWriter, last result) {
 	g, q := n.g, n.q
 	if errors.Is(ctx.Err(), context.Canceled) {
-		event.CallerGone.Log(g.log, "id", q.id)
+		event.CallerDisconnected.Log(g.log, "id", q.id)
 		panic(http.ErrAbortHandler)
 	}
 	if n.stream.started {
@@ -251,7 +251,7 @@
 	}
 	if !q.mayHaveRun {
 		r := g.fleet.exclusion(q.work, q.service.Engine)
-		event.NoRoom.Log(g.log, "id", q.id, "rule", string(r.Rule), "prompt", q.work.Prompt, "expected", q.work.Expected, "engines", r.Engines,
+		event.NoCapacity.Log(g.log, "id", q.id, "rule", string(r.Rule), "prompt", q.work.Prompt, "expected", q.work.Expected, "engines", r.Engines,
 			"ruled", r.Count, "read_ms", r.MinPrefillTime.Milliseconds(), "queued", r.Queued, "gateways_known", r.Known, "gateways", r.Gateways,
 			"waited_ms", g.clock.Since(q.arrived).Milliseconds(), "prefills", n.prefills, "decodes", n.decodes)
 		after := g.fleet.retryAfter(q.service.Name, r.MinPrefillTime)
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -50,7 +50,7 @@
 			return true
 		}
 	}
-	event.NoHold.Log(n.g.log, "id", n.q.id, "server", s.StableName(), "status", res.status, "ms", n.g.clock.Since(started).Milliseconds(), "error", res.err)
+	event.HoldFailed.Log(n.g.log, "id", n.q.id, "server", s.StableName(), "status", res.status, "ms", n.g.clock.Since(started).Milliseconds(), "error", res.err)
 	if res.kind == notSent {
 		n.g.fleet.noteOutcome(s.ID, outcomeOf(ctx, res), 0)
 	}
--- a/gateway/prompt_cache.go
+++ b/gateway/prompt_cache.go
@@ -76,7 +76,7 @@
 		wg.Go(func() {
 			cached, err := g.listCachedAt(ctx, q, &s)
 			if err != nil {
-				event.KeptUnknown.Log(g.log, "server", s.StableName(), "error", err)
+				event.CachedPromptsUnknown.Log(g.log, "server", s.StableName(), "error", err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -59,7 +59,7 @@
 	for _, u := range r.UnreadableFields {
 		metric.ServerReportsUnread.WithLabelValues(s.Service, string(u.Field)).Inc()
 		if g.unreadReports.Allow(r.Received, id+string(u.Field)) {
-			event.ServerReportUnread.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", truncated(u.Values))
+			event.ServerReportUnreadable.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", truncated(u.Values))
 		}
 	}
 }
--- a/gateway/suspend.go
+++ b/gateway/suspend.go
@@ -21,7 +21,7 @@
 	if l.lastTick.IsZero() || now.Sub(l.lastTick) < suspendedAfter {
 		return
 	}
-	event.StoodStill.Log(l.g.log, "ms", now.Sub(l.lastTick).Milliseconds())
+	event.ProcessSuspended.Log(l.g.log, "ms", now.Sub(l.lastTick).Milliseconds())
 	l.lastTick, l.resumedAt = now, now
 	if l.current == nil {
 		l.current = make(chan struct{})
--- a/operator/server.go
+++ b/operator/server.go
@@ -97,7 +97,7 @@
 func (s *server) auth(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !wire.TokenOK(c.Request(), s.Token) {
-			event.BadToken.Log(s.Log, "peer", c.RealIP())
+			event.UnknownToken.Log(s.Log, "peer", c.RealIP())
 			return fault.New(fault.Unauthorized, fault.StepAuth, "", "send the operators' token as Authorization: Bearer")
 		}
 		return next(c)
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -57,14 +57,14 @@
 		return
 	}
 	r.once.Do(func() {
-		r.mismatch.Every, r.mismatch.Most = badInterval, maxMismatchLines
-		r.bad.Every, r.bad.Most = badInterval, maxBadLines
+		r.mismatch.Interval, r.mismatch.MaxKeys = badInterval, maxMismatchLines
+		r.bad.Interval, r.bad.MaxKeys = badInterval, maxBadLines
 	})
 	metric.LinksRefused.WithLabelValues(string(s), f.Code.ID).Inc()
 	var mismatch *VersionError
 	if errors.As(err, &mismatch) {
 		if r.firstTime(now, peerKey(s, addr, mismatch)) {
-			event.VersionsApart.Log(log, "peer", addr, "error", f)
+			event.NoCommonVersion.Log(log, "peer", addr, "error", f)
 		}
 		return
 	}
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -15,7 +15,7 @@
 // serve, which must run the link until it ends.
 func Handler(log *slog.Logger, o Options, serve func(*Link)) http.Handler {
 	o.Log = log
-	refused, unauthorized := &refusals{}, &event.Limiter{Every: badInterval, Most: maxBadLines}
+	refused, unauthorized := &refusals{}, &event.Limiter{Interval: badInterval, MaxKeys: maxBadLines}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !TokenOK(r, o.Token) {
 			if unauthorized.Allow(clock.VM.Now(), host(r.RemoteAddr)) {
