--- a/agent/dump.go
+++ b/agent/dump.go
@@ -69,6 +69,6 @@
 	for _, state := range []lease.State{lease.Held, lease.Running, lease.Cancelling} {
 		metric.Leases.WithLabelValues(a.cfg.Name, state.String()).Set(float64(a.work.Count(state)))
 	}
-	metric.Revision.WithLabelValues(a.cfg.Name).Set(float64(a.store.Revision()))
-	metric.Age.WithLabelValues(a.cfg.Name).Set(clock.VM.Since(a.store.Since()).Seconds())
+	metric.SettingsRevision.WithLabelValues(a.cfg.Name).Set(float64(a.store.Revision()))
+	metric.SettingsAge.WithLabelValues(a.cfg.Name).Set(clock.VM.Since(a.store.Since()).Seconds())
 }
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -101,7 +101,7 @@
 	if p.OnConnect != nil {
 		p.OnConnect(r.Server, clock.VM.Now().Sub(started))
 	}
-	metric.Connections.WithLabelValues(cause).Inc()
+	metric.ServerConnections.WithLabelValues(cause).Inc()
 	if r.NewConnection && !c.wasAccepted() {
 		p.drop(r.Address, c)
 		return nil, errNotAccepted
--- a/config/logger.go
+++ b/config/logger.go
@@ -22,7 +22,7 @@
 		return slog.New(slog.NewTextHandler(os.Stderr, o)), func() {}
 	}
 	q := logqueue.New(os.Stdout, logqueue.DefaultBytes, func(lines int) {
-		metric.LogDropped.WithLabelValues().Add(float64(lines))
+		metric.DroppedLogLines.WithLabelValues().Add(float64(lines))
 		event.LogDropped.Log(log, "lines", lines)
 	})
 	log = slog.New(slog.NewJSONHandler(q, o))
--- a/control/dump.go
+++ b/control/dump.go
@@ -84,11 +84,11 @@
 	if st.Lease {
 		leader = 1
 	}
-	metric.Leader.WithLabelValues(c.cfg.Name).Set(leader)
-	metric.Term.WithLabelValues(c.cfg.Name).Set(float64(st.Term))
+	metric.ControlLeader.WithLabelValues(c.cfg.Name).Set(leader)
+	metric.ControlTerm.WithLabelValues(c.cfg.Name).Set(float64(st.Term))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	metric.FleetVersion.WithLabelValues(c.cfg.Name).Set(float64(c.state.Version()))
-	metric.Revision.WithLabelValues(c.cfg.Name).Set(float64(c.state.Revision()))
-	metric.Evacuated.WithLabelValues(c.cfg.Name).Set(float64(len(c.state.EvacuatedZones())))
+	metric.SettingsRevision.WithLabelValues(c.cfg.Name).Set(float64(c.state.Revision()))
+	metric.EvacuatedZones.WithLabelValues(c.cfg.Name).Set(float64(len(c.state.EvacuatedZones())))
 }
--- a/control/table.go
+++ b/control/table.go
@@ -133,7 +133,7 @@
 
 // logRejectedReport counts and logs a report that is not used.
 func (c *Control) logRejectedReport(reason, name, from string, err error) {
-	metric.ReportsRefused.WithLabelValues(reason).Inc()
+	metric.RefusedServerReports.WithLabelValues(reason).Inc()
 	if c.rejectionLog.Allow(c.clock.Now(), reason+" "+name) {
 		event.ServerReportRefused.Log(c.log, "server", name, "from", from, "error", err)
 	}
--- a/control/unreadable.go
+++ b/control/unreadable.go
@@ -45,7 +45,7 @@
 
 func (c *Control) recordUnreadable(what string, err error) {
 	c.stopReason = "the replica holds data written by a newer build: " + err.Error()
-	metric.Unread.WithLabelValues(what).Inc()
+	metric.UnreadableData.WithLabelValues(what).Inc()
 	event.NewerDataFormat.Log(c.log, "what", what, "error", err)
 }
 
@@ -72,7 +72,7 @@
 // rejectPacket records that a packet can't be read. The leader that sent it gets no answer;
 // if most replicas can't read it, another replica is elected. Callers hold c.mu.
 func (c *Control) rejectPacket(now time.Time, l *wire.Link, err error) {
-	metric.Unread.WithLabelValues(unreadablePacket).Inc()
+	metric.UnreadableData.WithLabelValues(unreadablePacket).Inc()
 	if c.rejectionLog.Allow(now, unreadablePacket+" "+l.Peer.Name) {
 		event.NewerPacketFormat.Log(c.log, "peer", l.Peer.Name, "error", err)
 	}
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -68,22 +68,22 @@
 	defer e.mu.Unlock()
 	name := e.cfg.Name
 	st := e.core.Stats()
-	metric.Prefill.WithLabelValues(name).Set(float64(st.PrefillTokens))
+	metric.PrefillTokens.WithLabelValues(name).Set(float64(st.PrefillTokens))
 	for cause, n := range st.WastedTokens {
-		metric.Wasted.WithLabelValues(name, string(cause)).Set(float64(n))
+		metric.WastedPrefillTokens.WithLabelValues(name, string(cause)).Set(float64(n))
 	}
-	metric.Waiting.WithLabelValues(name).Set(float64(e.core.Waiting()))
-	metric.Open.WithLabelValues(name).Set(float64(len(e.flows)))
+	metric.QueuedRequests.WithLabelValues(name).Set(float64(e.core.Waiting()))
+	metric.OpenRequests.WithLabelValues(name).Set(float64(len(e.flows)))
 	spent, denied := e.core.RetryCounts()
 	metric.Retries.WithLabelValues(name, "allowed").Set(float64(spent))
 	metric.Retries.WithLabelValues(name, "denied").Set(float64(denied))
-	metric.Revision.WithLabelValues(name).Set(float64(e.revisionInForce()))
-	metric.Age.WithLabelValues(name).Set(clock.VM.Since(e.store.Since()).Seconds())
+	metric.SettingsRevision.WithLabelValues(name).Set(float64(e.revisionInForce()))
+	metric.SettingsAge.WithLabelValues(name).Set(clock.VM.Since(e.store.Since()).Seconds())
 	degraded := 0.0
 	if e.degraded {
 		degraded = 1
 	}
-	metric.Degraded.WithLabelValues(name).Set(degraded)
+	metric.SettingsDegraded.WithLabelValues(name).Set(degraded)
 	t := e.traffic()
 	metric.LinkBytes.WithLabelValues(name, "sent").Set(float64(t.Sent))
 	metric.LinkBytes.WithLabelValues(name, "received").Set(float64(t.Received))
--- a/gateway/decode.go
+++ b/gateway/decode.go
@@ -107,7 +107,7 @@
 	}
 	metric.RouteRequests.WithLabelValues(name, strconv.Itoa(status)).Inc()
 	metric.RouteFirst.WithLabelValues(name).Observe(first.Seconds())
-	metric.RouteGap.WithLabelValues(name).Observe(stream.gap.Seconds())
+	metric.RouteMaxGap.WithLabelValues(name).Observe(stream.gap.Seconds())
 	event.RequestDone.Log(n.g.log, "id", n.q.id, "route", name, "status", status, "ms", n.g.clock.Since(n.q.arrived).Milliseconds(),
 		"first_ms", first.Milliseconds(), "gap_ms", stream.gap.Milliseconds(), "prefill", n.kvSource.StableName(), "decode", s.StableName(),
 		"prefill_ms", prefill.Milliseconds(), "rounds", n.prefills, "migrations", n.migrations.count)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -304,7 +304,7 @@
 	if r.kind == answered && r.status < http.StatusInternalServerError {
 		return
 	}
-	metric.Sends.WithLabelValues(q.service.Name, r.kind.String()).Inc()
+	metric.FailedSends.WithLabelValues(q.service.Name, r.kind.String()).Inc()
 	event.SendFailed.Log(g.log, "id", q.id, "server", s.StableName(), "phase", s.Role, "kind", r.kind.String(), "status", r.status, "ms", took.Milliseconds(),
 		"pause_ms", s.PauseRemaining(g.clock.Now().Add(-took)).Milliseconds(), "error", r.err)
 	switch {
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -125,7 +125,7 @@
 		n.pair, n.decodeReserved, n.prefillReserved = pair, pair.Decode.ID, pair.PrefillServer().ID
 		n.reservedAt = n.g.clock.Now()
 		if cached := q.work.Cached[n.prefillReserved]; cached > 0 {
-			metric.KeptTokens.WithLabelValues(q.service.Name).Add(float64(cached))
+			metric.CachedPromptTokens.WithLabelValues(q.service.Name).Add(float64(cached))
 		}
 		if n.acquireHold(ctx) {
 			return true
@@ -198,7 +198,7 @@
 }
 
 func (n *generation) noteWasted(cause string) {
-	metric.WastedTokens.WithLabelValues(n.q.service.Name, cause).Add(float64(n.kv.Tokens))
+	metric.WastedPromptTokens.WithLabelValues(n.q.service.Name, cause).Add(float64(n.kv.Tokens))
 	event.PrefillWasted.Log(n.g.log, "id", n.q.id, "cause", cause, "tokens", n.kv.Tokens, "made", n.q.work.Generated,
 		"prefill", n.kvSource.StableName(), "decode", n.pair.Decode.StableName())
 }
--- a/gateway/selfreport.go
+++ b/gateway/selfreport.go
@@ -57,7 +57,7 @@
 		metric.ServerReports.WithLabelValues(s.Service, string(f)).Inc()
 	}
 	for _, u := range r.UnreadableFields {
-		metric.ServerReportsUnread.WithLabelValues(s.Service, string(u.Field)).Inc()
+		metric.UnreadableServerReports.WithLabelValues(s.Service, string(u.Field)).Inc()
 		if g.unreadReports.Allow(r.Received, id+string(u.Field)) {
 			event.ServerReportUnreadable.Log(g.log, "server", s.StableName(), "service", s.Service, "field", string(u.Field), "values", truncated(u.Values))
 		}
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -60,7 +60,7 @@
 		r.mismatch.Interval, r.mismatch.MaxKeys = badInterval, maxMismatchLines
 		r.bad.Interval, r.bad.MaxKeys = badInterval, maxBadLines
 	})
-	metric.LinksRefused.WithLabelValues(string(s), f.Code.ID).Inc()
+	metric.RefusedLinks.WithLabelValues(string(s), f.Code.ID).Inc()
 	var mismatch *VersionError
 	if errors.As(err, &mismatch) {
 		if r.firstTime(now, peerKey(s, addr, mismatch)) {
