--- a/control/control.go
+++ b/control/control.go
@@ -333,7 +333,7 @@
 	event.Stopped.Log(c.log)
 }
 
-func (c *Control) tickLoop() { wait.Each(c.ctx, c.clock, tickEvery, c.tick) }
+func (c *Control) tickLoop() { wait.Every(c.ctx, c.clock, tickEvery, c.tick) }
 
 func (c *Control) tick(now time.Time) {
 	c.mu.Lock()
--- a/control/disk.go
+++ b/control/disk.go
@@ -65,7 +65,7 @@
 
 // hubLoop keeps gateways updated. A disk that stalls does not delay it.
 func (c *Control) hubLoop() {
-	wait.Each(c.ctx, c.clock, loadsEvery, func(now time.Time) {
+	wait.Every(c.ctx, c.clock, loadsEvery, func(now time.Time) {
 		current := false
 		if c.mu.TryLock() {
 			current = c.node.Fresh(now)
--- a/control/roles.go
+++ b/control/roles.go
@@ -48,7 +48,7 @@
 func (c *Control) roleLoop() {
 	p := &rolePlanning{pool: c.newEnginePool(), planners: map[string]*roles.Planner{}}
 	defer p.pool.Close()
-	wait.Each(c.ctx, c.clock, planEvery, func(now time.Time) { c.planRoles(now, p) })
+	wait.Every(c.ctx, c.clock, planEvery, func(now time.Time) { c.planRoles(now, p) })
 }
 
 // planRoles issues the role orders that are due. A new leader waits until no order of the
--- a/control/state_files.go
+++ b/control/state_files.go
@@ -92,7 +92,7 @@
 // disk that is full or stalls delays nothing else.
 func (c *Control) saveStateFile(f stateFile) {
 	failing := false
-	wait.Each(c.ctx, c.clock, stateSaveEvery, func(now time.Time) {
+	wait.Every(c.ctx, c.clock, stateSaveEvery, func(now time.Time) {
 		m := f.takeUnsaved(now)
 		if m == nil {
 			return
--- a/gateway/buffer.go
+++ b/gateway/buffer.go
@@ -37,7 +37,7 @@
 // ConnContext bounds the kernel's send buffer of a new connection of a caller. It has the signature
 // of http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
-	sock.BoundUnsent(c, maxUnsentBytes)
+	sock.LimitUnsent(c, maxUnsentBytes)
 	return ctx
 }
 
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -298,7 +298,7 @@
 // loop sends heartbeats and reservations.
 func (l *links) loop() {
 	var heartbeatAt time.Time
-	wait.Each(l.g.ctx, l.g.clock, loadsInterval, func(now time.Time) {
+	wait.Every(l.g.ctx, l.g.clock, loadsInterval, func(now time.Time) {
 		l.mu.Lock()
 		l.detectSuspension(now)
 		l.lastTick = now
--- a/internal/dupserver/dupserver.go
+++ b/internal/dupserver/dupserver.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// Answer is what the server sends for a request.
-type Answer struct {
+// Response is what the server sends for a request.
+type Response struct {
 	Status int
 	Type   string
 	Body   string
@@ -22,7 +22,7 @@
 // Server answers requests on loopback, and keeps connections open until callers close them.
 type Server struct {
 	ln     net.Listener
-	answer func(method, target, body string) Answer
+	answer func(method, target, body string) Response
 	wg     sync.WaitGroup
 
 	mu    sync.Mutex
@@ -30,7 +30,7 @@
 }
 
 // New returns a server that is closed at the end of the test.
-func New(t *testing.T, answer func(method, target, body string) Answer) *Server {
+func New(t *testing.T, answer func(method, target, body string) Response) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sock/unsent.go
+++ b/internal/sock/unsent.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// BoundUnsent has writes to a connection wait while the kernel keeps as many bytes that were not
+// LimitUnsent has writes to a connection wait while the kernel keeps as many bytes that were not
 // sent yet. What is on its way counts besides, so that a fast connection is as fast as before.
-func BoundUnsent(c net.Conn, bytes int) {
+func LimitUnsent(c net.Conn, bytes int) {
 	if over, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
 		c = over.NetConn()
 	}
--- a/internal/tcpproxy/tcpproxy.go
+++ b/internal/tcpproxy/tcpproxy.go
@@ -9,100 +9,100 @@
 	"testing"
 )
 
-// Gate forwards connections from its own address to another one.
-type Gate struct {
+// Proxy forwards connections from its own address to another one.
+type Proxy struct {
 	ln     net.Listener
 	target string
 
-	mu     sync.Mutex
-	wake   *sync.Cond
-	frozen bool
-	closed bool
-	conns  []net.Conn
+	mu      sync.Mutex
+	wake    *sync.Cond
+	blocked bool
+	closed  bool
+	conns   []net.Conn
 }
 
 // New returns a gate before target that is closed at the end of the test.
-func New(t *testing.T, target string) *Gate {
+func New(t *testing.T, target string) *Proxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &Gate{ln: ln, target: target}
-	g.wake = sync.NewCond(&g.mu)
-	go g.accept()
-	t.Cleanup(g.close)
-	return g
+	p := &Proxy{ln: ln, target: target}
+	p.wake = sync.NewCond(&p.mu)
+	go p.accept()
+	t.Cleanup(p.close)
+	return p
 }
 
 // Addr returns the gate's address.
-func (g *Gate) Addr() string { return g.ln.Addr().String() }
+func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
 // SetTarget changes where new connections go.
-func (g *Gate) SetTarget(addr string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.target = addr
+func (p *Proxy) SetTarget(addr string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.target = addr
 }
 
-// Freeze lets nothing through any more; both ends see silence.
-func (g *Gate) Freeze() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.frozen = true
+// Block lets nothing through any more; both ends see silence.
+func (p *Proxy) Block() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blocked = true
 }
 
-// Thaw lets everything through again, also what was held back.
-func (g *Gate) Thaw() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.frozen = false
-	g.wake.Broadcast()
+// Unblock lets everything through again, also what was held back.
+func (p *Proxy) Unblock() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blocked = false
+	p.wake.Broadcast()
 }
 
-// Break closes all connections; new ones are forwarded.
-func (g *Gate) Break() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, c := range g.conns {
+// CloseConnections closes all connections; new ones are forwarded.
+func (p *Proxy) CloseConnections() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
 		_ = c.Close()
 	}
-	g.conns = nil
+	p.conns = nil
 }
 
-func (g *Gate) close() {
-	g.mu.Lock()
-	g.closed = true
-	g.frozen = false
-	g.wake.Broadcast()
-	g.mu.Unlock()
-	_ = g.ln.Close()
-	g.Break()
+func (p *Proxy) close() {
+	p.mu.Lock()
+	p.closed = true
+	p.blocked = false
+	p.wake.Broadcast()
+	p.mu.Unlock()
+	_ = p.ln.Close()
+	p.CloseConnections()
 }
 
-func (g *Gate) accept() {
+func (p *Proxy) accept() {
 	for {
-		in, err := g.ln.Accept()
+		in, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		go g.forward(in)
+		go p.forward(in)
 	}
 }
 
-// pass waits while the gate is frozen.
-func (g *Gate) pass() (target string, ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for g.frozen {
-		g.wake.Wait()
+// waitUnblocked waits while the gate is blocked.
+func (p *Proxy) waitUnblocked() (target string, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for p.blocked {
+		p.wake.Wait()
 	}
-	return g.target, !g.closed
+	return p.target, !p.closed
 }
 
-func (g *Gate) forward(in net.Conn) {
-	g.keep(in)
-	target, ok := g.pass()
+func (p *Proxy) forward(in net.Conn) {
+	p.track(in)
+	target, ok := p.waitUnblocked()
 	if !ok {
 		_ = in.Close()
 		return
@@ -112,25 +112,25 @@
 		_ = in.Close()
 		return
 	}
-	g.keep(out)
-	go g.copy(out, in)
-	g.copy(in, out)
+	p.track(out)
+	go p.copy(out, in)
+	p.copy(in, out)
 }
 
-func (g *Gate) keep(c net.Conn) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.conns = append(g.conns, c)
+func (p *Proxy) track(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns = append(p.conns, c)
 }
 
-func (g *Gate) copy(to, from net.Conn) {
+func (p *Proxy) copy(to, from net.Conn) {
 	defer to.Close()
 	defer from.Close()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if _, ok := g.pass(); !ok {
+			if _, ok := p.waitUnblocked(); !ok {
 				return
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -18,10 +18,10 @@
 	}
 }
 
-// Each calls do each time that a while has passed, with the time of a clock, until ctx is
+// Every calls do each time that a while has passed, with the time of a clock, until ctx is
 // done.
-func Each(ctx context.Context, c *clock.Clock, every time.Duration, do func(now time.Time)) {
-	t := time.NewTicker(every)
+func Every(ctx context.Context, c *clock.Clock, interval time.Duration, do func(now time.Time)) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
