--- a/internal/dupserver/dupserver.go
+++ b/internal/dupserver/dupserver.go
@@ -21,22 +21,22 @@
 
 // Server answers requests on loopback, and keeps connections open until callers close them.
 type Server struct {
-	ln     net.Listener
-	answer func(method, target, body string) Response
-	wg     sync.WaitGroup
+	ln      net.Listener
+	respond func(method, target, body string) Response
+	wg      sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
 // New returns a server that is closed at the end of the test.
-func New(t *testing.T, answer func(method, target, body string) Response) *Server {
+func New(t *testing.T, respond func(method, target, body string) Response) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{ln: ln, answer: answer, conns: map[net.Conn]bool{}}
+	s := &Server{ln: ln, respond: respond, conns: map[net.Conn]bool{}}
 	s.wg.Go(s.accept)
 	t.Cleanup(s.close)
 	return s
@@ -66,7 +66,7 @@
 		s.mu.Unlock()
 	}()
 	br := bufio.NewReader(c)
-	before := ""
+	previous := ""
 	for {
 		req, err := http.ReadRequest(br)
 		if err != nil {
@@ -76,13 +76,13 @@
 		if err != nil {
 			return
 		}
-		a := s.answer(req.Method, req.RequestURI, string(body))
-		text := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n%s",
-			a.Status, http.StatusText(a.Status), a.Type, len(a.Body), a.Body)
-		if _, err := io.WriteString(c, before+text); err != nil {
+		resp := s.respond(req.Method, req.RequestURI, string(body))
+		raw := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n%s",
+			resp.Status, http.StatusText(resp.Status), resp.Type, len(resp.Body), resp.Body)
+		if _, err := io.WriteString(c, previous+raw); err != nil {
 			return
 		}
-		before = text
+		previous = raw
 	}
 }
 
--- a/internal/fieldlist/fieldlist.go
+++ b/internal/fieldlist/fieldlist.go
@@ -17,19 +17,19 @@
 	return out
 }
 
-func list(t reflect.Type, path string, out *[]string, above []reflect.Type) {
+func list(t reflect.Type, path string, out *[]string, parents []reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
 	}
-	if t.Kind() != reflect.Struct || slices.Contains(above, t) {
+	if t.Kind() != reflect.Struct || slices.Contains(parents, t) {
 		return
 	}
 	for i := range t.NumField() {
 		f := t.Field(i)
 		if name, optional := encoded(f); name != "" {
-			at := path + "." + f.Name
-			*out = append(*out, fmt.Sprintf("%s %s%s %s", at, name, optional, f.Type))
-			list(f.Type, at, out, append(above, t))
+			fieldPath := path + "." + f.Name
+			*out = append(*out, fmt.Sprintf("%s %s%s %s", fieldPath, name, optional, f.Type))
+			list(f.Type, fieldPath, out, append(parents, t))
 		}
 	}
 }
@@ -56,20 +56,20 @@
 	return name, optional
 }
 
-// Check returns what is wrong with the fields of now beside those that a build in use has: a
+// Check returns what is problems with the fields of current beside those that a build in use has: a
 // field that is gone or has changed, and a new one that isn't left out when empty, which that
 // build would meet before it may.
-func Check(now, then []string) []string {
-	var wrong []string
-	for _, l := range then {
-		if !slices.Contains(now, l) {
-			wrong = append(wrong, "gone or changed: "+l)
+func Check(current, old []string) []string {
+	var problems []string
+	for _, l := range old {
+		if !slices.Contains(current, l) {
+			problems = append(problems, "gone or changed: "+l)
 		}
 	}
-	for _, l := range now {
-		if !slices.Contains(then, l) && !strings.Contains(l, " optional ") {
-			wrong = append(wrong, "new and not optional: "+l)
+	for _, l := range current {
+		if !slices.Contains(old, l) && !strings.Contains(l, " optional ") {
+			problems = append(problems, "new and not optional: "+l)
 		}
 	}
-	return wrong
+	return problems
 }
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -23,9 +23,9 @@
 const (
 	// first is the first port, count the number of ports, and block that of the ports
 	// that a process takes at a time.
-	first = 20000
-	count = 12000
-	block = 100
+	firstPort = 20000
+	portCount = 12000
+	blockSize = 100
 )
 
 // ports gives out the ports of the blocks that it has locked.
@@ -38,13 +38,13 @@
 	next, end int
 }
 
-var own ports
+var processPorts ports
 
 // Addr returns an address that nobody listens on. No address is given twice, nor by two
 // processes that run at the same time.
 func Addr(t *testing.T) string {
 	t.Helper()
-	addr, err := own.addr()
+	addr, err := processPorts.addr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 func (p *ports) addr() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for range count {
+	for range portCount {
 		if p.next == p.end {
 			if err := p.lockBlock(); err != nil {
 				return "", err
@@ -80,7 +80,7 @@
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return err
 	}
-	for n := range count / block {
+	for n := range portCount / blockSize {
 		f, err := os.OpenFile(filepath.Join(dir, fmt.Sprint(n)), os.O_RDWR|os.O_CREATE, 0o666)
 		if err != nil {
 			return err
@@ -90,7 +90,7 @@
 			continue
 		}
 		p.locks = append(p.locks, f)
-		p.next, p.end = first+n*block, first+(n+1)*block
+		p.next, p.end = firstPort+n*blockSize, firstPort+(n+1)*blockSize
 		return nil
 	}
 	return errNoPort
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -1,14 +1,14 @@
-// Package pq is a priority queue whose elements know their place, so that one
+// Package pq is a priority queue whose elements know their index, so that one
 // can be moved or taken out from the middle.
 package pq
 
 import "container/heap"
 
-// Queue orders elements by Less. Moved, if set, is told the place of an element
+// Queue orders elements by Less. Moved, if set, is told the index of an element
 // whenever it changes; -1 means that it has left.
 type Queue[T any] struct {
 	Less  func(a, b T) bool
-	Moved func(t T, place int)
+	Moved func(t T, index int)
 	s     slice[T]
 }
 
@@ -22,19 +22,19 @@
 func (q *Queue[T]) Items() []T { return q.s.items }
 
 // Push puts an element in.
-func (q *Queue[T]) Push(t T) { heap.Push(q.wired(), t) }
+func (q *Queue[T]) Push(t T) { heap.Push(q.configured(), t) }
 
 // Pop takes the first element out.
-func (q *Queue[T]) Pop() T { return heap.Pop(q.wired()).(T) }
+func (q *Queue[T]) Pop() T { return heap.Pop(q.configured()).(T) }
 
-// Fix moves the element at a place after its order has changed.
-func (q *Queue[T]) Fix(place int) { heap.Fix(q.wired(), place) }
+// Fix moves the element at a index after its order has changed.
+func (q *Queue[T]) Fix(index int) { heap.Fix(q.configured(), index) }
 
-// Remove takes the element at a place out.
-func (q *Queue[T]) Remove(place int) { heap.Remove(q.wired(), place) }
+// Remove takes the element at a index out.
+func (q *Queue[T]) Remove(index int) { heap.Remove(q.configured(), index) }
 
 // wired gives the heap the queue's functions.
-func (q *Queue[T]) wired() *slice[T] {
+func (q *Queue[T]) configured() *slice[T] {
 	q.s.less, q.s.moved = q.Less, q.Moved
 	return &q.s
 }
@@ -43,27 +43,27 @@
 type slice[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	moved func(t T, place int)
+	moved func(t T, index int)
 }
 
 func (s *slice[T]) Len() int           { return len(s.items) }
 func (s *slice[T]) Less(i, j int) bool { return s.less(s.items[i], s.items[j]) }
 func (s *slice[T]) Swap(i, j int) {
 	s.items[i], s.items[j] = s.items[j], s.items[i]
-	s.tell(i)
-	s.tell(j)
+	s.notify(i)
+	s.notify(j)
 }
 
-func (s *slice[T]) tell(place int) {
+func (s *slice[T]) notify(index int) {
 	if s.moved != nil {
-		s.moved(s.items[place], place)
+		s.moved(s.items[index], index)
 	}
 }
 
 // Push implements heap.Interface.
 func (s *slice[T]) Push(x any) {
 	s.items = append(s.items, x.(T))
-	s.tell(len(s.items) - 1)
+	s.notify(len(s.items) - 1)
 }
 
 // Pop implements heap.Interface.
--- a/internal/sighup/prestart/prestart.go
+++ b/internal/sighup/prestart/prestart.go
@@ -14,7 +14,7 @@
 
 // The C library gives constructors the arguments of main. Only the command that
 // serves is meant: in others the signal keeps its usual effect.
-__attribute__((constructor)) static void ignore_hangup(int argc, char **argv) {
+__attribute__((constructor)) static void ignore_sighup(int argc, char **argv) {
 	if (argc > 1 && strcmp(argv[1], "run") == 0) {
 		signal(SIGHUP, SIG_IGN);
 	}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -12,13 +12,13 @@
 )
 
 // Dialer returns a dialer that gives up after timeout. Once open, a connection
-// breaks if sent bytes stay unacknowledged for silence.
-func Dialer(timeout, silence time.Duration) *net.Dialer {
+// breaks if sent bytes stay unacknowledged for ackTimeout.
+func Dialer(timeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:   timeout,
 		KeepAlive: -1,
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return raw.Control(func(fd uintptr) { setUserTimeout(int(fd), silence) })
+			return raw.Control(func(fd uintptr) { setUserTimeout(int(fd), ackTimeout) })
 		},
 	}
 }
@@ -26,60 +26,60 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Redialer returns a function that tries to open a connection for a time, and
+// Redialer returns a function that attempts to open a connection for a time, and
 // sends another first packet each while. One may be lost, or meet a VM without
-// power, and the kernel sends the next one only after a second. Earlier tries go
+// power, and the kernel sends the next one only after a second. Earlier attempts go
 // on beside later ones, so that a way that is slow works too.
-func Redialer(silence, every, timeout time.Duration) DialFunc {
-	return redialer(Dialer(timeout, silence).DialContext, every, timeout)
+func Redialer(ackTimeout, interval, timeout time.Duration) DialFunc {
+	return redialer(Dialer(timeout, ackTimeout).DialContext, interval, timeout)
 }
 
-func redialer(dial DialFunc, every, timeout time.Duration) DialFunc {
+func redialer(dial DialFunc, interval, timeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
-		dials := &tries{ended: make(chan opened)}
+		dials := &attempts{results: make(chan result)}
 		defer func() {
 			cancel()
 			go dials.closeRest()
 		}()
-		again := time.NewTicker(every)
-		defer again.Stop()
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
 		for {
 			dials.add(func() (net.Conn, error) { return dial(ctx, network, address) })
 			select {
-			case first := <-dials.ended:
-				dials.open--
+			case first := <-dials.results:
+				dials.pending--
 				return first.conn, first.err
-			case <-again.C:
+			case <-ticker.C:
 			}
 		}
 	}
 }
 
-// opened is how one try ended.
-type opened struct {
+// result is how one try ended.
+type result struct {
 	conn net.Conn
 	err  error
 }
 
-// tries are tries to open one connection that run beside each other.
-type tries struct {
-	ended chan opened
-	open  int
+// attempts are attempts to open one connection that run beside each other.
+type attempts struct {
+	results chan result
+	pending int
 }
 
-func (t *tries) add(dial func() (net.Conn, error)) {
-	t.open++
+func (a *attempts) add(dial func() (net.Conn, error)) {
+	a.pending++
 	go func() {
 		c, err := dial()
-		t.ended <- opened{c, err}
+		a.results <- result{c, err}
 	}()
 }
 
-// closeRest waits for the tries that have not ended, and closes what they open.
-func (t *tries) closeRest() {
-	for range t.open {
-		if o := <-t.ended; o.conn != nil {
+// closeRest waits for the attempts that have not ended, and closes what they open.
+func (a *attempts) closeRest() {
+	for range a.pending {
+		if o := <-a.results; o.conn != nil {
 			_ = o.conn.Close()
 		}
 	}
--- a/internal/sock/unsent.go
+++ b/internal/sock/unsent.go
@@ -10,8 +10,8 @@
 // LimitUnsent has writes to a connection wait while the kernel keeps as many bytes that were not
 // sent yet. What is on its way counts besides, so that a fast connection is as fast as before.
 func LimitUnsent(c net.Conn, bytes int) {
-	if over, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
-		c = over.NetConn()
+	if wrapper, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
+		c = wrapper.NetConn()
 	}
 	raw, ok := c.(syscall.Conn)
 	if !ok {
