--- a/internal/dupserver/dupserver.go
+++ b/internal/dupserver/dupserver.go
@@ -1,5 +1,5 @@
-// Package dupserver is an HTTP server for tests that sends each answer a second time, late: in
-// the place where the answer to the next request on the connection is due.
+// Package dupserver is an HTTP server for tests that sends each response twice: the copy
+// arrives where the response to the next request on the connection is due.
 package dupserver
 
 import (
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// Response is what the server sends for a request.
+// Response is a response without headers other than its type and length.
 type Response struct {
 	Status int
 	Type   string
 	Body   string
 }
 
-// Server answers requests on loopback, and keeps connections open until callers close them.
+// Server serves requests on loopback and keeps connections open until clients close them.
 type Server struct {
 	ln      net.Listener
 	respond func(method, target, body string) Response
@@ -29,7 +29,7 @@
 	conns map[net.Conn]bool
 }
 
-// New returns a server that is closed at the end of the test.
+// New starts a server that is closed at the end of the test.
 func New(t *testing.T, respond func(method, target, body string) Response) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	return s
 }
 
-// Addr is the address of the server.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 func (s *Server) accept() {
--- a/internal/fieldlist/fieldlist.go
+++ b/internal/fieldlist/fieldlist.go
@@ -1,5 +1,5 @@
-// Package fieldlist lists the encoded fields of a type, so that a test can tell when a
-// message or a record changes.
+// Package fieldlist lists the encoded fields of a type, so that a test can detect changes of
+// a message or a record.
 package fieldlist
 
 import (
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Of returns a line for each field of a type and of the types in it: its path, its number or
-// name in the encoding, "optional" if it is left out when empty, and its type.
+// Of returns a line for each field of a type and of its nested types: its path, its number or
+// name in the encoding, "optional" if it is omitted when empty, and its type.
 func Of(t reflect.Type) []string {
 	var out []string
 	list(t, t.Name(), &out, nil)
@@ -34,7 +34,7 @@
 	}
 }
 
-// encoded returns the name of a field in the encoding; empty if it is not encoded.
+// encoded returns the name of a field in the encoding, or an empty name if it isn't encoded.
 func encoded(f reflect.StructField) (name, optional string) {
 	if !f.IsExported() {
 		return "", ""
@@ -56,9 +56,9 @@
 	return name, optional
 }
 
-// Check returns what is problems with the fields of current beside those that a build in use has: a
-// field that is gone or has changed, and a new one that isn't left out when empty, which that
-// build would meet before it may.
+// Check compares the current fields with those of an older build that is still in use, and
+// returns the incompatible changes: fields that were removed or changed, and new ones that
+// aren't omitted when empty, which the older build would receive before it can read them.
 func Check(current, old []string) []string {
 	var problems []string
 	for _, l := range old {
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,12 +1,11 @@
-// Package freeport finds loopback addresses for tests that must know an address
-// before somebody listens on it.
+// Package freeport allocates loopback addresses for tests that must know an address
+// before anything listens on it.
 //
-// Asking the kernel for any port and closing it again gives a port that an
-// outgoing connection may take before it is used. The ports here lie below the
-// range that outgoing connections are given. They are given out in blocks, each of
-// which one process has for itself until it ends: the tests of several packages run
-// beside each other, and one that stops a server and starts it again at its address
-// must not find another's there.
+// A port that the kernel chose for a listener that was closed again may be taken by an
+// outgoing connection before the test uses it. The ports here lie below the range of
+// outgoing connections. Each test process locks whole blocks of ports until it ends: the
+// tests of several packages run concurrently, and one that restarts a server at its address
+// must not find the server of another test there.
 package freeport
 
 import (
@@ -21,26 +20,26 @@
 )
 
 const (
-	// first is the first port, count the number of ports, and block that of the ports
-	// that a process takes at a time.
+	// firstPort is the lowest port, portCount the number of ports, and blockSize the number
+	// of ports that a process locks at a time.
 	firstPort = 20000
 	portCount = 12000
 	blockSize = 100
 )
 
-// ports gives out the ports of the blocks that it has locked.
+// ports allocates the ports of the blocks that it has locked.
 type ports struct {
 	mu sync.Mutex
-	// locks are the files of the blocks that are its own; they stay open, and locked,
-	// until the process ends.
+	// locks are the lock files of its blocks; they stay open, and locked, until the process
+	// ends.
 	locks []*os.File
-	// next is the next port of the newest block, end the one after its last.
+	// next is the next port of the newest block, end the port after its last one.
 	next, end int
 }
 
 var processPorts ports
 
-// Addr returns an address that nobody listens on. No address is given twice, nor by two
+// Addr returns an address that nothing listens on. It returns each address once, also among
 // processes that run at the same time.
 func Addr(t *testing.T) string {
 	t.Helper()
@@ -66,7 +65,7 @@
 		p.next++
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
-			continue // somebody who does not ask here has it
+			continue // used by a process that doesn't allocate its ports here
 		}
 		_ = ln.Close()
 		return addr, nil
@@ -74,7 +73,7 @@
 	return "", errNoPort
 }
 
-// lockBlock takes a block that no process has.
+// lockBlock locks a block that no process has locked.
 func (p *ports) lockBlock() error {
 	dir := filepath.Join(os.TempDir(), "ledgepin-test-ports")
 	if err := os.MkdirAll(dir, 0o777); err != nil {
@@ -86,7 +85,7 @@
 			return err
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
-			_ = f.Close() // another process has it
+			_ = f.Close() // locked by another process
 			continue
 		}
 		p.locks = append(p.locks, f)
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -1,45 +1,45 @@
-// Package pq is a priority queue whose elements know their index, so that one
-// can be moved or taken out from the middle.
+// Package pq is a priority queue that reports the index of each element, so that any
+// element can be moved or removed.
 package pq
 
 import "container/heap"
 
-// Queue orders elements by Less. Moved, if set, is told the index of an element
-// whenever it changes; -1 means that it has left.
+// Queue orders elements by Less. Moved, if set, is called with the new index of an element
+// whenever it changes; index -1 means that the element was removed.
 type Queue[T any] struct {
 	Less  func(a, b T) bool
 	Moved func(t T, index int)
 	s     slice[T]
 }
 
-// Len counts the elements.
+// Len returns the number of elements.
 func (q *Queue[T]) Len() int { return len(q.s.items) }
 
 // First returns the first element; the queue must not be empty.
 func (q *Queue[T]) First() T { return q.s.items[0] }
 
-// Items returns the elements in heap order; the slice is the queue's own.
+// Items returns the elements in heap order. The slice is the queue's own and must not be changed.
 func (q *Queue[T]) Items() []T { return q.s.items }
 
-// Push puts an element in.
+// Push adds an element.
 func (q *Queue[T]) Push(t T) { heap.Push(q.configured(), t) }
 
-// Pop takes the first element out.
+// Pop removes and returns the first element; the queue must not be empty.
 func (q *Queue[T]) Pop() T { return heap.Pop(q.configured()).(T) }
 
-// Fix moves the element at a index after its order has changed.
+// Fix restores the order after the element at index has changed.
 func (q *Queue[T]) Fix(index int) { heap.Fix(q.configured(), index) }
 
-// Remove takes the element at a index out.
+// Remove removes the element at index.
 func (q *Queue[T]) Remove(index int) { heap.Remove(q.configured(), index) }
 
-// wired gives the heap the queue's functions.
+// configured returns the heap with the current Less and Moved of the queue.
 func (q *Queue[T]) configured() *slice[T] {
 	q.s.less, q.s.moved = q.Less, q.Moved
 	return &q.s
 }
 
-// slice is a Queue as container/heap wants it.
+// slice implements heap.Interface.
 type slice[T any] struct {
 	items []T
 	less  func(a, b T) bool
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded fixes the seed of property tests, so that a run on one commit
-// always has the same verdict. A search with other seeds is a matter of flags:
+// Package seeded fixes the seed of property tests, so that all runs on one commit have the
+// same result. To search with other seeds, set the flags of rapid:
 // go test ./claim -rapid.seed=0 -rapid.checks=100000.
 package seeded
 
--- a/internal/sighup/prestart/prestart.go
+++ b/internal/sighup/prestart/prestart.go
@@ -1,19 +1,19 @@
 //go:build cgo
 
-// Package prestart ignores SIGHUP from the time before the Go runtime starts, in a
-// process that serves. The runtime takes some milliseconds until a package can ask
-// for the signal, and until then it would end the process. Package hangup asks for
-// it afterwards, which ends the ignoring.
+// Package prestart ignores SIGHUP in a serving process from before the Go runtime starts. The
+// runtime needs some milliseconds until a package can register a handler, and until then the
+// signal would terminate the process. Package sighup registers its handler afterwards, which
+// replaces the ignored state.
 //
-// A program that is built without cgo has the gap.
+// Programs built without cgo are still terminated by a signal in that time.
 package prestart
 
 /*
 #include <signal.h>
 #include <string.h>
 
-// The C library gives constructors the arguments of main. Only the command that
-// serves is meant: in others the signal keeps its usual effect.
+// The C library passes the arguments of main to constructors. Only the command that serves
+// ignores the signal: in others it keeps its default effect.
 __attribute__((constructor)) static void ignore_sighup(int argc, char **argv) {
 	if (argc > 1 && strcmp(argv[1], "run") == 0) {
 		signal(SIGHUP, SIG_IGN);
--- a/internal/sighup/sighup.go
+++ b/internal/sighup/sighup.go
@@ -1,7 +1,7 @@
-// Package sighup catches SIGHUP from the first moment of a process that serves.
+// Package sighup receives SIGHUP in a serving process from the time it starts.
 //
-// The signal tells such a process that its settings have changed, also while it
-// starts and while it stops, and would end it wherever nobody has asked for it.
+// The signal means that the settings file has changed. It may arrive while the process
+// starts or stops, and terminates the process while no handler is registered.
 package sighup
 
 import (
@@ -9,18 +9,18 @@
 	"os/signal"
 	"syscall"
 
-	_ "github.com/ledgepin/ledgepin/internal/sighup/prestart" // the time before this package
+	_ "github.com/ledgepin/ledgepin/internal/sighup/prestart" // ignores SIGHUP until this package is initialized
 )
 
-// C gets the signals. It holds one: what matters is that there was one.
+// C receives the signals. Its buffer holds one, since several mean the same as one.
 var C = make(chan os.Signal, 1)
 
-// serveCommand is the command of a process that serves; in others the signal
-// keeps its usual effect.
+// serveCommand is the subcommand of a serving process. In other commands SIGHUP keeps its
+// default effect.
 const serveCommand = "run"
 
-// The packages that a command is made of take their time to initialize, on a
-// small VM a tenth of a second and more, so that main would be too late.
+// The handler is registered here rather than in main, since initializing all packages of the
+// command takes 0.1 s and more on a small VM.
 func init() {
 	if len(os.Args) > 1 && os.Args[1] == serveCommand {
 		signal.Notify(C, syscall.SIGHUP)
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,5 +1,5 @@
-// Package sock opens TCP connections on which a silent network shows within
-// seconds. The kernel's own defaults are minutes.
+// Package sock opens TCP connections that fail within seconds if the network drops their
+// packets. The kernel's default timeouts are minutes.
 package sock
 
 import (
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer returns a dialer that gives up after timeout. Once open, a connection
-// breaks if sent bytes stay unacknowledged for ackTimeout.
+// Dialer returns a dialer that gives up after timeout. An open connection is closed if sent
+// bytes stay unacknowledged for ackTimeout.
 func Dialer(timeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:   timeout,
@@ -26,10 +26,10 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Redialer returns a function that attempts to open a connection for a time, and
-// sends another first packet each while. One may be lost, or meet a VM without
-// power, and the kernel sends the next one only after a second. Earlier attempts go
-// on beside later ones, so that a way that is slow works too.
+// Redialer returns a function that tries to open a connection until timeout, and starts
+// another attempt each interval. The first packet of an attempt may be lost, or sent to a VM
+// that is powered off, and the kernel repeats it only after a second. Earlier attempts
+// continue in parallel, so that a path slower than interval works too.
 func Redialer(ackTimeout, interval, timeout time.Duration) DialFunc {
 	return redialer(Dialer(timeout, ackTimeout).DialContext, interval, timeout)
 }
@@ -56,13 +56,13 @@
 	}
 }
 
-// result is how one try ended.
+// result is the outcome of one attempt.
 type result struct {
 	conn net.Conn
 	err  error
 }
 
-// attempts are attempts to open one connection that run beside each other.
+// attempts are concurrent attempts to open one connection.
 type attempts struct {
 	results chan result
 	pending int
@@ -76,7 +76,7 @@
 	}()
 }
 
-// closeRest waits for the attempts that have not ended, and closes what they open.
+// closeRest waits for the pending attempts and closes the connections that they open.
 func (a *attempts) closeRest() {
 	for range a.pending {
 		if o := <-a.results; o.conn != nil {
@@ -85,8 +85,8 @@
 	}
 }
 
-// setUserTimeout is a help and no promise, so that a kernel without the option
-// is no failure.
+// setUserTimeout ignores errors: on a kernel without the option, connections work but fail
+// later.
 func setUserTimeout(fd int, limit time.Duration) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 }
--- a/internal/sock/unsent.go
+++ b/internal/sock/unsent.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// LimitUnsent has writes to a connection wait while the kernel keeps as many bytes that were not
-// sent yet. What is on its way counts besides, so that a fast connection is as fast as before.
+// LimitUnsent makes writes to c block while the kernel buffers that many bytes that were not
+// sent yet. Bytes in flight don't count, so fast connections aren't slowed down.
 func LimitUnsent(c net.Conn, bytes int) {
 	if wrapper, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
 		c = wrapper.NetConn()
@@ -19,10 +19,10 @@
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return // closed already
+		return // already closed
 	}
 	_ = control.Control(func(fd uintptr) {
-		// A help and no promise: a kernel without the option keeps some megabytes.
+		// An error is ignored: a kernel without the option buffers some megabytes.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, bytes)
 	})
 }
--- a/internal/strictcbor/strictcbor.go
+++ b/internal/strictcbor/strictcbor.go
@@ -1,5 +1,5 @@
-// Package strictcbor decodes what replicas keep and agree on: all of it or nothing. A part that is
-// passed over would make replicas differ.
+// Package strictcbor decodes replicated data and refuses unknown fields, since replicas that
+// skip a field would diverge from those that know it.
 package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
@@ -12,5 +12,5 @@
 	return m
 }()
 
-// Unmarshal reads data into v, and returns an error if data has a field that v has not.
+// Unmarshal decodes data into v. It returns an error if data has a field that v doesn't have.
 func Unmarshal(data []byte, v any) error { return mode.Unmarshal(data, v) }
--- a/internal/tcpproxy/tcpproxy.go
+++ b/internal/tcpproxy/tcpproxy.go
@@ -1,5 +1,5 @@
-// Package tcpproxy is a TCP forwarder for tests that cuts a link between two
-// processes: in silence, as a broken network does, or by closing it.
+// Package tcpproxy is a TCP proxy for tests that interrupts a link between two
+// processes: silently, as a broken network does, or by closing its connections.
 package tcpproxy
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Proxy forwards connections from its own address to another one.
+// Proxy forwards connections from its own address to a target.
 type Proxy struct {
 	ln     net.Listener
 	target string
@@ -21,7 +21,7 @@
 	conns   []net.Conn
 }
 
-// New returns a gate before target that is closed at the end of the test.
+// New starts a proxy for target that is closed at the end of the test.
 func New(t *testing.T, target string) *Proxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,24 +35,24 @@
 	return p
 }
 
-// Addr returns the gate's address.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// SetTarget changes where new connections go.
+// SetTarget changes the address that new connections are forwarded to.
 func (p *Proxy) SetTarget(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = addr
 }
 
-// Block lets nothing through any more; both ends see silence.
+// Block stops forwarding without closing connections: neither end receives anything.
 func (p *Proxy) Block() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blocked = true
 }
 
-// Unblock lets everything through again, also what was held back.
+// Unblock resumes forwarding, including the data received while blocked.
 func (p *Proxy) Unblock() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +60,7 @@
 	p.wake.Broadcast()
 }
 
-// CloseConnections closes all connections; new ones are forwarded.
+// CloseConnections closes all open connections; new ones are still forwarded.
 func (p *Proxy) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +90,8 @@
 	}
 }
 
-// waitUnblocked waits while the gate is blocked.
+// waitUnblocked waits while the proxy is blocked. It returns the current target, and whether
+// the proxy is still open.
 func (p *Proxy) waitUnblocked() (target string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until a time has passed or a context is done.
+// Package wait sleeps and runs periodic functions until a context is done.
 package wait
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/clock"
 )
 
-// For waits for d, or less if ctx is done before.
+// For waits for d, or until ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,8 +18,7 @@
 	}
 }
 
-// Every calls do each time that a while has passed, with the time of a clock, until ctx is
-// done.
+// Every calls do once per interval, with the current time of c, until ctx is done.
 func Every(ctx context.Context, c *clock.Clock, interval time.Duration, do func(now time.Time)) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
