--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -7,8 +7,8 @@
 // Catalogue returns all events in the order of their definition.
 func Catalogue() []*Event { return catalogue }
 
-func define(id string, sev slog.Level, title, text, todo string) *Event {
-	e := &Event{ID: id, Title: title, Text: text, Action: todo, Since: "0.1", Severity: sev}
+func define(id string, sev slog.Level, title, text, action string) *Event {
+	e := &Event{ID: id, Title: title, Text: text, Action: action, Since: "0.1", Severity: sev}
 	catalogue = append(catalogue, e)
 	return e
 }
@@ -20,16 +20,16 @@
 	debug = slog.LevelDebug
 )
 
-const nothing = "Nothing."
+const noAction = "Nothing."
 
 // The process.
 var (
 	Started = define("LP1001", info, "process started",
-		"A role of the process has its listeners and links.", nothing)
+		"A role of the process has its listeners and links.", noAction)
 	Draining = define("LP1002", info, "draining",
-		"The process takes no new work and waits for the streams in progress.", nothing)
+		"The process takes no new work and waits for the streams in progress.", noAction)
 	Stopped = define("LP1003", info, "process stopped",
-		"All streams have ended and the process leaves.", nothing)
+		"All streams have ended and the process leaves.", noAction)
 	DrainTimeout = define("LP1004", warn, "drain took too long",
 		"Streams were still open when the time for draining was over; they were cut.",
 		"Raise drain_time, or look in the dump for callers that keep streams open.")
@@ -39,7 +39,7 @@
 
 // The settings file of the process.
 var (
-	Reloaded      = define("LP1007", info, "settings file read again", "The settings file has changed and is in force.", nothing)
+	Reloaded      = define("LP1007", info, "settings file read again", "The settings file has changed and is in force.", noAction)
 	ReloadRefused = define("LP1008", warn, "settings file refused",
 		"The settings file has changed and has a fault; the process goes on with what it had.", "Mend the file.")
 )
@@ -61,18 +61,18 @@
 		"Many target_out_of_reach or queue_full refusals mean that the pools are too small.")
 	RequestFailed = define("LP2002", warn, "request failed",
 		"A request ran and has no whole answer.", "Run `ledgepin explain` with the request ID.")
-	RequestDone        = define("LP2003", info, "request done", "A request got its whole answer.", nothing)
+	RequestDone        = define("LP2003", info, "request done", "A request got its whole answer.", noAction)
 	CallerDisconnected = define("LP2004", info, "caller gone",
-		"The caller closed its connection; its work was cancelled at the engines.", nothing)
+		"The caller closed its connection; its work was cancelled at the engines.", noAction)
 	SlowCallerDisconnected = define("LP2005", warn, "caller cut off",
 		"The caller read so slowly that its buffer filled up.", "Look at the caller's network.")
 	UnknownToken = define("LP2006", warn, "token not known",
 		"A caller, an operator or a peer came without a known token.",
 		"If it is one of yours, check its token and the settings.")
 	BadInput = define("LP2007", info, "bad input",
-		"A request could not be read: malformed, too large or with unknown values.", nothing)
+		"A request could not be read: malformed, too large or with unknown values.", noAction)
 	SettingChanged = define("LP2008", info, "settings change accepted",
-		"An operator's change of the settings is accepted.", nothing)
+		"An operator's change of the settings is accepted.", noAction)
 	SettingRefused = define("LP2009", info, "settings change refused",
 		"An operator's change did not pass the checks or was based on an old revision.",
 		"Get the newest revision and apply the change to it.")
@@ -139,7 +139,7 @@
 
 // ServerRestarted tells that a server has started again under its name.
 var ServerRestarted = define("LP2020", info, "server started again",
-	"A later start of a server has reported itself, so the earlier one has ended with all that it had: its requests broke off, and its connections were closed.", nothing)
+	"A later start of a server has reported itself, so the earlier one has ended with all that it had: its requests broke off, and its connections were closed.", noAction)
 
 // ServerLimit tells what a server says of the requests that it takes.
 var ServerLimit = define("LP2023", warn, "limit of a server",
@@ -163,11 +163,11 @@
 
 // ServerPauseEnded tells that a server gets requests again.
 var ServerPauseEnded = define("LP2027", info, "pause of a server over",
-	"The time is over for which a server wanted no requests of this gateway. It gets few at first, and more as it serves them.", nothing)
+	"The time is over for which a server wanted no requests of this gateway. It gets few at first, and more as it serves them.", noAction)
 
 // Links between processes.
 var (
-	LinkUp   = define("LP3001", info, "link up", "A link to a peer process is open.", nothing)
+	LinkUp   = define("LP3001", info, "link up", "A link to a peer process is open.", noAction)
 	LinkDown = define("LP3002", warn, "link down",
 		"A link to a peer process closed; it is opened again by itself.",
 		"If it stays down, look at the peer's log and the network between the VMs.")
@@ -180,32 +180,32 @@
 		"A peer speaks no version of the protocol that this process speaks, so there is no link. It is told once for each peer and range; the link is tried again with pauses of up to 5 s.",
 		"Replace the older of the two: builds go together with those of the two landings before them (docs/OPERATIONS.md, Upgrading).")
 	UnknownFields = define("LP3006", info, "unknown fields",
-		"A peer of a later build says a kind of message, or a field of one, that this build does not know. It was passed over; each link tells of each kind once.", nothing)
+		"A peer of a later build says a kind of message, or a field of one, that this build does not know. It was passed over; each link tells of each kind once.", noAction)
 )
 
 // Agents and engines.
 var (
 	EngineLost = define("LP4001", fail, "engine lost",
 		"The engine beside the agent does not answer.", "Look at the engine; the agent goes on by itself when it is back.")
-	EngineRecovered   = define("LP4002", info, "engine back", "The engine answers again.", nothing)
+	EngineRecovered   = define("LP4002", info, "engine back", "The engine answers again.", noAction)
 	CancelUnconfirmed = define("LP4003", warn, "cancel not confirmed",
 		"The engine has not confirmed a cancel; it is repeated until it does.",
 		"If it goes on, restart the engine: its slot stays in use.")
 	LeaseExpired = define("LP4004", warn, "lease expired",
 		"An entry was silent for longer than the lease; its work was cancelled.", "Look at the entry.")
 	OrphanCancelled = define("LP4005", info, "orphan cancelled",
-		"After a restart of the agent, the engine ran a request that no entry claimed.", nothing)
+		"After a restart of the agent, the engine ran a request that no entry claimed.", noAction)
 	ServerEjected = define("LP4006", warn, "server ejected",
 		"A server failed several times in a row and gets only probes for a while.", "Look at the server.")
 	ServerReportRefused = define("LP4013", warn, "report of a server refused",
 		"What came as the report of a server is not used: it can't be read, is of an earlier start than the one that is known, or says of a start that is known what only another server can say. One line a minute for each server and reason.",
 		"Look at what writes at the address. An earlier start whose server is up: its clock was set back between two starts; set it right and start the server again.")
 	ServerLeaving = define("LP4007", info, "server leaving",
-		"A backend server is leaving and gets no new work.", nothing)
+		"A backend server is leaving and gets no new work.", noAction)
 	ServerBorrowed = define("LP4011", info, "server borrowed",
 		"The entry's own availability zone is short of a model, so it uses a server of another one for a while.",
 		"If it happens often, the zone's pool is too small.")
-	OrderDone    = define("LP4008", info, "order carried out", "The engine has carried out an order of control.", nothing)
+	OrderDone    = define("LP4008", info, "order carried out", "The engine has carried out an order of control.", noAction)
 	OrderRefused = define("LP4009", warn, "order refused",
 		"An order came with a fence that is too low, or before the fence was known.",
 		"A cut-off control leader may still be sending; it stops by itself.")
@@ -222,7 +222,7 @@
 	VoterRecovering = define("LP5001", info, "claim voter recovers",
 		"A claim voter has started without memory and copies from its group before it votes.",
 		"If it stays so, at least one other member of the group is out of reach.")
-	VoterRecovered      = define("LP5002", info, "claim voter votes", "A claim voter has recovered and votes.", nothing)
+	VoterRecovered      = define("LP5002", info, "claim voter votes", "A claim voter has recovered and votes.", noAction)
 	ClaimOutcomeUnknown = define("LP5003", warn, "outcome unknown",
 		"A call that may not be repeated was sent and its answer is not known.",
 		"Ask the service what became of the key.")
@@ -230,24 +230,24 @@
 
 // Control and settings.
 var (
-	LeaderElected = define("LP6001", info, "leader elected", "This control replica is the leader.", nothing)
+	LeaderElected = define("LP6001", info, "leader elected", "This control replica is the leader.", noAction)
 	LeaderLost    = define("LP6002", warn, "leadership ended",
-		"This control replica leads no more: it lost its majority or saw a newer term.", nothing)
+		"This control replica leads no more: it lost its majority or saw a newer term.", noAction)
 	JournalTorn = define("LP6003", warn, "torn tail cut",
-		"The end of the journal was half written, as after a power cut; it was cut off.", nothing)
+		"The end of the journal was half written, as after a power cut; it was cut off.", noAction)
 	JournalCorrupt = define("LP6004", fail, "journal broken",
 		"The journal is damaged before its end; the replica does not start.",
 		"Replace the replica: empty its data folder and give it a new name in the settings.")
 	JournalFailed = define("LP6005", fail, "journal failed",
 		"The disk refused a write or a sync; the replica gave up its vote.", "Replace the disk or make room, then restart.")
 	JournalRecovered = define("LP6012", info, "journal back",
-		"The disk takes writes again; the replica takes part with what the disk holds.", nothing)
+		"The disk takes writes again; the replica takes part with what the disk holds.", noAction)
 	NewerDataFormat = define("LP6015", fail, "written by a newer build",
 		"The replica holds what this build can't read. It has stopped and gave up its vote, and has changed nothing; it does not come back by itself.",
 		"Run the newer build on this data. To go back for good, see OPERATIONS.md, Upgrading.")
 	VersionRaised = define("LP6017", info, "the fleet's version has risen",
 		"All members of control read the new version, and what came with it may be written from now on. Builds that do not read it are refused from now on, and refuse this replica's data.",
-		nothing)
+		noAction)
 	IncompatibleReplica = define("LP6018", warn, "replica of another version refused",
 		"A replica does not read what this one holds, so it gets nothing and is not heard. One line a minute for each replica.",
 		"Run a build there that reads the fleet's version: ledgepin upgrade status.")
@@ -264,18 +264,18 @@
 		"Another replica sent an entry or a snapshot that this build can't read; nothing of it was taken. One line a minute for each sender.",
 		"Run the newer build here too.")
 	StateRestored = define("LP6013", info, "known before",
-		"The replica starts with what it knew before, of the file that is named: servers count as there for some seconds, unless they say otherwise.", nothing)
+		"The replica starts with what it knew before, of the file that is named: servers count as there for some seconds, unless they say otherwise.", noAction)
 	StateFileFailed = define("LP6014", warn, "not kept beside the log",
 		"What the replica knows of servers or of blocked contents could not be read or written; after a loss of power servers are known once they report themselves, and contents once gateways tell of them.",
 		"Make room on the disk, or replace it.")
-	SettingsInForce = define("LP6006", info, "settings in force", "A new revision of the settings is in force here.", nothing)
+	SettingsInForce = define("LP6006", info, "settings in force", "A new revision of the settings is in force here.", noAction)
 	InvalidSettings = define("LP6007", fail, "settings not usable",
 		"Settings came that do not parse or have another hash.", "Check that all processes run versions that go together.")
 	SettingsUnconfirmed = define("LP6008", warn, "settings unconfirmed",
 		"The process acts on the settings of its site's peers, because control is out of reach.",
 		"Restore the link to control; the site catches up by itself.")
-	MembersChanged      = define("LP6009", info, "control members changed", "The membership of control has changed.", nothing)
-	SnapshotTaken       = define("LP6010", debug, "snapshot taken", "The replicated log was cut after a snapshot.", nothing)
+	MembersChanged      = define("LP6009", info, "control members changed", "The membership of control has changed.", noAction)
+	SnapshotTaken       = define("LP6010", debug, "snapshot taken", "The replicated log was cut after a snapshot.", noAction)
 	PlatformUnreachable = define("LP6011", warn, "platform list out of reach",
 		"The platform's list of VMs can't be read; the last one is used.", "Look at the platform.")
 )
--- a/event/limiter.go
+++ b/event/limiter.go
@@ -18,10 +18,10 @@
 }
 
 // Allow tells whether a line about a thing may be written now.
-func (l *Limiter) Allow(now time.Time, thing string) bool {
+func (l *Limiter) Allow(now time.Time, key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at, told := l.last[thing]; told && now.Sub(at) < l.Interval {
+	if at, seen := l.last[key]; seen && now.Sub(at) < l.Interval {
 		return false
 	}
 	if len(l.last) >= l.MaxKeys {
@@ -37,6 +37,6 @@
 	if l.last == nil {
 		l.last = map[string]time.Time{}
 	}
-	l.last[thing] = now
+	l.last[key] = now
 	return true
 }
