--- a/event/doc.go
+++ b/event/doc.go
@@ -1,6 +1,6 @@
-// Package event is the catalogue of everything that ledgepin writes to its log.
+// Package event is the catalogue of all kinds of lines that ledgepin writes to its log.
 //
-// Every log line carries the ID of an entry in the catalogue, so that an
-// operator can look it up and alarms can match it without parsing text.
+// Each log line carries the ID of its event, so that operators can look it up and alarms can
+// match it without parsing text.
 // docs/EVENTS.md is generated from the catalogue.
 package event
--- a/event/event.go
+++ b/event/event.go
@@ -9,21 +9,22 @@
 
 // Event is one kind of log line.
 type Event struct {
-	// ID is the stable number, written LP followed by four digits.
+	// ID is the stable identifier: LP followed by four digits.
 	ID string
 	// Title is the message of the log line.
 	Title string
-	// Text tells what happened.
+	// Text describes what happened and the attributes of the line.
 	Text string
-	// Todo tells an operator what to do about it.
+	// Action is what an operator should do about it.
 	Action string
-	// Since is the first version that writes it.
+	// Since is the first version that logs it.
 	Since string
-	// Severity is the level that the line is logged at.
+	// Severity is the log level of the line.
 	Severity slog.Level
 }
 
-// Log writes e with the attributes in args, which follow the rules of slog.
+// Log writes e to log with the attributes in args, which are passed on to slog. It does nothing
+// if log is nil.
 func (e *Event) Log(log *slog.Logger, args ...any) {
 	if log == nil {
 		return
--- a/event/limiter.go
+++ b/event/limiter.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Limiter bounds how often lines about the same thing are written, and about how many
-// things in a while: what others send decides how many there would be.
+// Limiter limits how often lines about the same key, such as a server or a peer, are logged, and
+// the number of keys that lines are logged about. Without it, the number of lines would depend
+// on what peers and servers send.
 type Limiter struct {
-	// Every is the least time between two lines about one thing, Most the things of
-	// which lines are written in that time.
+	// Interval is the minimum time between two lines about one key, MaxKeys the maximum
+	// number of keys that lines are logged about in that time.
 	Interval time.Duration
 	MaxKeys  int
 
@@ -17,7 +18,7 @@
 	last map[string]time.Time
 }
 
-// Allow tells whether a line about a thing may be written now.
+// Allow reports whether a line about key may be logged now, and counts it if so.
 func (l *Limiter) Allow(now time.Time, key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
