--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,8 +1,7 @@
-// Package metric defines the metrics of a process.
+// Package metric defines the Prometheus metrics of a process.
 //
-// Label values come from the settings and the catalogues, never from callers,
-// so the number of series is bounded. docs/METRICS.md is generated from the
-// list here.
+// Label values come from the settings and the catalogues, never from callers, so the number
+// of series is bounded. docs/METRICS.md is generated from the catalogue here.
 package metric
 
 import (
@@ -15,7 +14,7 @@
 // Registry holds all metrics of the process.
 var Registry = prometheus.NewRegistry()
 
-// Entry is one row of the catalogue.
+// Entry describes a metric in the catalogue.
 type Entry struct {
 	Name, Kind, Help string
 	Labels           []string
@@ -23,7 +22,7 @@
 
 var catalogue []Entry
 
-// Catalogue lists all metrics in the order of their definition.
+// Catalogue returns all metrics in the order of their definition.
 func Catalogue() []Entry { return catalogue }
 
 func counter(name, help string, labels ...string) *prometheus.CounterVec {
@@ -47,61 +46,61 @@
 	return h
 }
 
-// The metrics.
+// Metrics of entries, agents, control and all processes.
 var (
 	ServerConnections = counter("ledgepin_server_connections_total",
-		"Connections that were opened to backend servers, by cause: once (a request that may run once), no_id (a call without an ID), same_id (the idle ones have carried the ID), none_idle.", "cause")
+		"Connections opened to backend servers, by cause: once (the request may run only once), no_id (the call has no ID), same_id (all idle connections have carried the ID), none_idle.", "cause")
 	EvacuatedZones = gauge("ledgepin_evacuated_zones", "Availability zones whose servers get no new work.", "name")
 	Requests       = counter("ledgepin_requests_total",
-		"Requests by class and outcome: met (whole answer within both targets), late, or the code of the error.", "class", "outcome")
+		"Requests by class and outcome: met (complete answer within both targets), late, or the code of the error.", "class", "outcome")
 	FirstToken = histogram("ledgepin_first_token_seconds", "Time from arrival to the first token.",
 		[]float64{.05, .1, .2, .33, .5, 1, 2, 5, 10, 30}, "class")
 	BetweenTokens = histogram("ledgepin_between_tokens_seconds", "Mean time between the tokens of an answer.",
 		[]float64{.01, .02, .04, .06, .075, .1, .2, .5, 1}, "class")
-	PrefillTokens       = gauge("ledgepin_prefill_tokens", "Prefill work started since the start, in tokens.", "name")
-	WastedPrefillTokens = gauge("ledgepin_wasted_prefill_tokens", "Prefill work thrown away since the start, in tokens.", "name", "cause")
-	QueuedRequests      = gauge("ledgepin_queue_requests", "Requests that wait.", "name")
+	PrefillTokens       = gauge("ledgepin_prefill_tokens", "Prefill work started since the start of the process, in tokens.", "name")
+	WastedPrefillTokens = gauge("ledgepin_wasted_prefill_tokens", "Prefill work wasted since the start of the process, in tokens.", "name", "cause")
+	QueuedRequests      = gauge("ledgepin_queue_requests", "Requests in the queue.", "name")
 	OpenRequests        = gauge("ledgepin_open_requests", "Requests in progress.", "name")
-	Retries             = gauge("ledgepin_retries", "Retries since the start, allowed and denied by the budget.", "name", "verdict")
+	Retries             = gauge("ledgepin_retries", "Retries since the start of the process, allowed and denied by the budget.", "name", "verdict")
 	Claims              = counter("ledgepin_claims_total", "Claims by verdict.", "verdict")
-	Leases              = gauge("ledgepin_leases", "Slots under lease at an agent.", "name", "state")
-	Cancels             = counter("ledgepin_cancels_total", "Cancels sent to an engine, and confirmed by it.", "name", "step")
-	SettingsRevision    = gauge("ledgepin_settings_revision", "Settings revision in force; 0 if none.", "name")
+	Leases              = gauge("ledgepin_leases", "Slots of an agent that are leased.", "name", "state")
+	Cancels             = counter("ledgepin_cancels_total", "Cancels sent to an engine and confirmed by it.", "name", "step")
+	SettingsRevision    = gauge("ledgepin_settings_revision", "Revision of the settings in force; 0 if none.", "name")
 	SettingsAge         = gauge("ledgepin_settings_age_seconds", "Time since the revision came into force.", "name")
-	SettingsDegraded    = gauge("ledgepin_settings_degraded", "1 while the settings are not vouched for by control.", "name")
-	ControlLeader       = gauge("ledgepin_control_leader", "1 if this control replica leads with a live lease.", "name")
+	SettingsDegraded    = gauge("ledgepin_settings_degraded", "1 while control has not confirmed the settings.", "name")
+	ControlLeader       = gauge("ledgepin_control_leader", "1 if this control replica is the leader and its lease is valid.", "name")
 	ControlTerm         = gauge("ledgepin_control_term", "Term of this control replica.", "name")
-	FleetVersion        = gauge("ledgepin_fleet_version", "The fleet's version in force at this control replica.", "name")
-	UnreadableData      = counter("ledgepin_unread_total", "What a control replica met of a newer build and could not read: its journal, a committed command, a packet.", "what")
+	FleetVersion        = gauge("ledgepin_fleet_version", "Version of the fleet in force at this control replica.", "name")
+	UnreadableData      = counter("ledgepin_unread_total", "Data of a newer build that a control replica could not read: its journal, a committed command, a packet.", "what")
 	LinkBytes           = gauge("ledgepin_link_bytes", "Payload bytes on the open links of a process.", "name", "direction")
 )
 
-// The metrics of gateways and of the log.
+// Metrics of gateways, links and the log.
 var (
 	RouteRequests = counter("ledgepin_route_requests_total",
 		"Requests of a gateway by route and outcome: the status of a server's answer, or the reason of a refusal.", "route", "outcome")
 	RouteFirst = histogram("ledgepin_route_first_seconds", "Time from arrival to the first part of a server's answer.",
 		[]float64{.02, .05, .1, .2, .3, .5, .9, 2, 5}, "route")
-	RouteMaxGap = histogram("ledgepin_route_gap_seconds", "Longest pause between two parts of a stream.",
+	RouteMaxGap = histogram("ledgepin_route_gap_seconds", "Longest time between two parts of a stream.",
 		[]float64{.02, .05, .1, .2, .3, .5, 1, 2}, "route")
 	RoutePrefill = histogram("ledgepin_route_prefill_seconds", "Time from arrival until the prompt has been read.",
 		[]float64{.05, .1, .2, .3, .5, .9, 2}, "route")
-	FailedSends          = counter("ledgepin_sends_total", "Requests of a gateway to backend servers that did not end well, by kind.", "service", "kind")
-	Migrations           = counter("ledgepin_migrations_total", "Runs that were to go on at another engine with their KV cache, by reason and outcome.", "service", "reason", "outcome")
-	EventsOutOfOrder     = counter("ledgepin_stream_events_out_of_order_total", "Events of streams that engines sent out of order and that no caller got, by what was wrong: repeated or missing before it.", "service", "verdict")
-	WastedPromptTokens   = counter("ledgepin_wasted_prompt_tokens_total", "Tokens of prompts that were read and whose answer did not become whole, by cause.", "service", "cause")
-	CachedPromptTokens   = counter("ledgepin_kept_prompt_tokens_total", "Tokens of prompts that came again and were placed at an engine that keeps them.", "service")
-	HeldBytes            = gauge("ledgepin_held_bytes", "Bytes that a gateway holds for callers: bodies, answers and streams.", "name")
-	MemoryRefusals       = counter("ledgepin_memory_refusals_total", "Requests that a gateway refused since it holds as much for callers as it may.", "route")
+	FailedSends          = counter("ledgepin_sends_total", "Failed requests of a gateway to backend servers, by kind.", "service", "kind")
+	Migrations           = counter("ledgepin_migrations_total", "Runs to be migrated to another engine with their KV cache, by reason and outcome.", "service", "reason", "outcome")
+	EventsOutOfOrder     = counter("ledgepin_stream_events_out_of_order_total", "Events of streams that engines sent out of order and that were not sent to callers, by verdict: repeated (the caller already has it) or missing (events before it were left out).", "service", "verdict")
+	WastedPromptTokens   = counter("ledgepin_wasted_prompt_tokens_total", "Tokens of prompts that were read and whose answer was not completed, by cause.", "service", "cause")
+	CachedPromptTokens   = counter("ledgepin_kept_prompt_tokens_total", "Tokens of repeated prompts that were placed at an engine that has them cached.", "service")
+	HeldBytes            = gauge("ledgepin_held_bytes", "Bytes that a gateway buffers for callers: bodies, answers and streams.", "name")
+	MemoryRefusals       = counter("ledgepin_memory_refusals_total", "Requests that a gateway refused since its buffers for callers had reached their limit.", "route")
 	OrganisationRequests = counter("ledgepin_organisation_requests_total",
-		"Requests of an organisation with a limit at a gateway, by what became of them there: taken, beyond its share while it waited for room, or over its limit.", "organisation", "outcome")
-	LimitedServers          = gauge("ledgepin_limited_servers", "Servers that name a limit of requests a second, as this process knows.", "name")
-	ServerReports           = counter("ledgepin_server_reports_total", "Answers to a gateway, of whatever kind, in which a server says something of itself, by field: limit, retry_after, leaving, cold.", "service", "field")
-	UnreadableServerReports = counter("ledgepin_server_reports_unread_total", "Answers to a gateway in which a server says something of itself that can't be read, by field.", "service", "field")
-	RefusedServerReports    = counter("ledgepin_server_words_refused_total", "Reports about servers that are not used: unreadable, of an earlier start, or of another server.", "reason")
-	RefusedLinks            = counter("ledgepin_links_refused_total", "Links that were not opened for what the peer said first, by who opened it (dialled, accepted) and reason (versions_apart, bad_peer).", "side", "reason")
-	UnknownFields           = counter("ledgepin_unknown_words_total", "Kinds of messages in which a link met a field that this build does not know, by kind: its name, or its number if the kind itself is not known.", "kind")
-	DroppedLogLines         = counter("ledgepin_log_lines_dropped_total", "Log lines left out because the output was not read fast enough.")
+		"Requests of an organisation with a limit at a gateway, by outcome: taken (accepted), beyond its share (waiting for capacity, since the organisation has its fair share), or over its limit.", "organisation", "outcome")
+	LimitedServers          = gauge("ledgepin_limited_servers", "Servers with a known limit of requests per second.", "name")
+	ServerReports           = counter("ledgepin_server_reports_total", "Answers of any kind to a gateway in which a server reports something about itself, by field: limit, retry_after, leaving, cold.", "service", "field")
+	UnreadableServerReports = counter("ledgepin_server_reports_unread_total", "Answers to a gateway in which a server reports something about itself that can't be read, by field.", "service", "field")
+	RefusedServerReports    = counter("ledgepin_server_words_refused_total", "Reports about servers that are not used: unreadable, of an earlier incarnation, or of another server.", "reason")
+	RefusedLinks            = counter("ledgepin_links_refused_total", "Links that were refused because of the first message of the peer, by side that opened it (dialled, accepted) and reason (versions_apart, bad_peer).", "side", "reason")
+	UnknownFields           = counter("ledgepin_unknown_words_total", "Kinds of messages in which a link received a field that this build does not know, by kind: its name, or its number if the kind itself is unknown.", "kind")
+	DroppedLogLines         = counter("ledgepin_log_lines_dropped_total", "Log lines dropped because the output was not read fast enough.")
 )
 
 // WriteMarkdown writes the catalogue as the page docs/METRICS.md.
