--- a/logqueue/logqueue.go
+++ b/logqueue/logqueue.go
@@ -18,35 +18,35 @@
 const (
 	// DefaultBytes bounds the queue.
 	DefaultBytes = 256 << 10
-	// thinAt is the share of the queue from which on ordinary lines of most
-	// requests are left out, and fullAt that from which on all of them are.
-	thinAt = 0.5
-	fullAt = 0.8
-	// keepOne in so many requests is kept while the queue is thinned.
-	keepOne = 4
+	// thinShare is the share of the queue from which on ordinary lines of most
+	// requests are left out, and fullShare that from which on all of them are.
+	thinShare = 0.5
+	fullShare = 0.8
+	// keepOneIn in so many requests is kept while the queue is thinned.
+	keepOneIn = 4
 )
 
 // Queue is an io.Writer that takes one line in each call.
 type Queue struct {
-	out   io.Writer
-	bytes int
-	seed  maphash.Seed
+	out      io.Writer
+	maxBytes int
+	seed     maphash.Seed
 	// dropped is called with the number of lines that were left out; it may log.
-	dropped func(lines int)
+	onDropped func(lines int)
 
-	mu      sync.Mutex
-	lines   [][]byte
-	held    int
-	left    int
-	wake    chan struct{}
-	closing bool
-	done    chan struct{}
+	mu           sync.Mutex
+	lines        [][]byte
+	queuedBytes  int
+	droppedLines int
+	wake         chan struct{}
+	closing      bool
+	done         chan struct{}
 }
 
 // New returns a queue before a writer. Dropped, if it is not nil, is told of
 // lines that were left out.
-func New(out io.Writer, size int, dropped func(lines int)) *Queue {
-	q := &Queue{out: out, bytes: size, seed: maphash.MakeSeed(), dropped: dropped, wake: make(chan struct{}, 1), done: make(chan struct{})}
+func New(out io.Writer, size int, onDropped func(lines int)) *Queue {
+	q := &Queue{out: out, maxBytes: size, seed: maphash.MakeSeed(), onDropped: onDropped, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go q.run()
 	return q
 }
@@ -54,13 +54,13 @@
 // Write queues one line. It never waits and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
-	if q.closing || !q.fits(line) {
-		q.left++
+	if q.closing || !q.keep(line) {
+		q.droppedLines++
 		q.mu.Unlock()
 		return len(line), nil
 	}
 	q.lines = append(q.lines, bytes.Clone(line))
-	q.held += len(line)
+	q.queuedBytes += len(line)
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
@@ -69,22 +69,22 @@
 	return len(line), nil
 }
 
-// fits decides whether a line is kept. Callers hold the lock.
-func (q *Queue) fits(line []byte) bool {
-	share := float64(q.held+len(line)) / float64(q.bytes)
+// keep decides whether a line is kept. Callers hold the lock.
+func (q *Queue) keep(line []byte) bool {
+	share := float64(q.queuedBytes+len(line)) / float64(q.maxBytes)
 	switch {
 	case share > 1:
 		return false
-	case important(line) || share <= thinAt:
+	case isWarningOrError(line) || share <= thinShare:
 		return true
-	case share > fullAt:
+	case share > fullShare:
 		return false
 	}
 	id := requestID(line)
-	return id != nil && maphash.Bytes(q.seed, id)%keepOne == 0
+	return id != nil && maphash.Bytes(q.seed, id)%keepOneIn == 0
 }
 
-func important(line []byte) bool {
+func isWarningOrError(line []byte) bool {
 	return bytes.Contains(line, []byte(`"level":"WARN"`)) || bytes.Contains(line, []byte(`"level":"ERROR"`))
 }
 
@@ -105,9 +105,9 @@
 		for q.flush() {
 		}
 		q.mu.Lock()
-		over := q.closing && len(q.lines) == 0
+		finished := q.closing && len(q.lines) == 0
 		q.mu.Unlock()
-		if over {
+		if finished {
 			return
 		}
 	}
@@ -117,25 +117,25 @@
 // there was nothing to do.
 func (q *Queue) flush() bool {
 	q.mu.Lock()
-	lines, left := q.lines, q.left
-	q.lines, q.left = nil, 0
+	lines, droppedLines := q.lines, q.droppedLines
+	q.lines, q.droppedLines = nil, 0
 	q.mu.Unlock()
 	if len(lines) > 0 {
 		_, _ = q.out.Write(bytes.Join(lines, nil))
 		q.mu.Lock()
 		for _, l := range lines {
-			q.held -= len(l)
+			q.queuedBytes -= len(l)
 		}
 		q.mu.Unlock()
 	}
-	if left > 0 && q.dropped != nil {
-		q.dropped(left)
+	if droppedLines > 0 && q.onDropped != nil {
+		q.onDropped(droppedLines)
 	}
 	return len(lines) > 0
 }
 
 // Close writes what waits, for a time at most.
-func (q *Queue) Close(limit time.Duration) {
+func (q *Queue) Close(timeout time.Duration) {
 	q.mu.Lock()
 	q.closing = true
 	q.mu.Unlock()
@@ -145,6 +145,6 @@
 	}
 	select {
 	case <-q.done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
