--- a/logqueue/logqueue.go
+++ b/logqueue/logqueue.go
@@ -1,9 +1,9 @@
-// Package logqueue writes log lines without ever holding up who logs.
+// Package logqueue writes log lines without ever blocking the code that logs.
 //
-// Lines wait in a bounded queue for one writer. When the queue fills, ordinary
-// lines give way before warnings and errors, and they give way by request: the
-// lines of a request are all kept or all left out, so that no story is half
-// told. What was left out is counted, and a line of its own says how much.
+// Lines wait in a bounded queue for one writer. When the queue fills, ordinary lines are
+// dropped before warnings and errors, and they are dropped by request: the lines of a request
+// are all kept or all dropped, so that no request is logged incompletely. Dropped lines are
+// counted and reported in a line of their own.
 package logqueue
 
 import (
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// Bounds of the queue in bytes of lines.
+// Limits of the queue.
 const (
-	// DefaultBytes bounds the queue.
+	// DefaultBytes is the default size of the queue in bytes of lines.
 	DefaultBytes = 256 << 10
-	// thinShare is the share of the queue from which on ordinary lines of most
-	// requests are left out, and fullShare that from which on all of them are.
+	// thinShare is the used share of the queue above which the ordinary lines of most
+	// requests are dropped, fullShare the one above which all ordinary lines are.
 	thinShare = 0.5
 	fullShare = 0.8
-	// keepOneIn in so many requests is kept while the queue is thinned.
+	// One in keepOneIn requests is kept between thinShare and fullShare.
 	keepOneIn = 4
 )
 
-// Queue is an io.Writer that takes one line in each call.
+// Queue is an io.Writer that expects one line per call of Write.
 type Queue struct {
 	out      io.Writer
 	maxBytes int
 	seed     maphash.Seed
-	// dropped is called with the number of lines that were left out; it may log.
+	// onDropped is called with the number of dropped lines; it may log.
 	onDropped func(lines int)
 
 	mu           sync.Mutex
@@ -43,15 +43,15 @@
 	done         chan struct{}
 }
 
-// New returns a queue before a writer. Dropped, if it is not nil, is told of
-// lines that were left out.
+// New returns a queue of at most size bytes that writes to out. If onDropped is not nil, it is
+// called with the number of lines that were dropped.
 func New(out io.Writer, size int, onDropped func(lines int)) *Queue {
 	q := &Queue{out: out, maxBytes: size, seed: maphash.MakeSeed(), onDropped: onDropped, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write queues one line. It never waits and never fails.
+// Write queues one line or drops it. It never blocks and never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	if q.closing || !q.keep(line) {
@@ -69,7 +69,7 @@
 	return len(line), nil
 }
 
-// keep decides whether a line is kept. Callers hold the lock.
+// keep reports whether a line is queued rather than dropped. The caller holds q.mu.
 func (q *Queue) keep(line []byte) bool {
 	share := float64(q.queuedBytes+len(line)) / float64(q.maxBytes)
 	switch {
@@ -88,7 +88,7 @@
 	return bytes.Contains(line, []byte(`"level":"WARN"`)) || bytes.Contains(line, []byte(`"level":"ERROR"`))
 }
 
-// requestID returns the request that a line is about, or nil.
+// requestID returns the ID of the request that a line is about, or nil.
 func requestID(line []byte) []byte {
 	_, rest, ok := bytes.Cut(line, []byte(`"id":"`))
 	if !ok {
@@ -98,7 +98,7 @@
 	return id
 }
 
-// run writes the lines.
+// run writes queued lines until the queue is closed and empty.
 func (q *Queue) run() {
 	defer close(q.done)
 	for range q.wake {
@@ -113,8 +113,8 @@
 	}
 }
 
-// flush writes what waits and then tells what was left out; it returns false if
-// there was nothing to do.
+// flush writes the queued lines and then reports dropped ones. It reports whether any line was
+// queued.
 func (q *Queue) flush() bool {
 	q.mu.Lock()
 	lines, droppedLines := q.lines, q.droppedLines
@@ -134,7 +134,7 @@
 	return len(lines) > 0
 }
 
-// Close writes what waits, for a time at most.
+// Close drops further lines and waits until the queued ones are written, for at most timeout.
 func (q *Queue) Close(timeout time.Duration) {
 	q.mu.Lock()
 	q.closing = true
