--- a/logqueue/logqueue_test.go
+++ b/logqueue/logqueue_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestLinesOfRequestAreKeptOrDroppedTogether checks that the lines of a request are all kept or all
-// dropped while the queue is between half full and full.
+// dropped while the queue is more than half full.
 func TestLinesOfRequestAreKeptOrDroppedTogether(t *testing.T) {
 	w := &blockedWriter{open: make(chan struct{})}
 	q := logqueue.New(w, 40000, nil)
