--- a/cli/cli.go
+++ b/cli/cli.go
@@ -47,8 +47,8 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// streams are where a command reads and writes.
-type streams struct {
+// commandIO are where a command reads and writes.
+type commandIO struct {
 	ctx      context.Context
 	out, err io.Writer
 }
@@ -56,7 +56,7 @@
 // Main runs the command line and returns the exit code.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var c commands
-	k, err := kong.New(&c, kong.Name("ledgepin"), kong.Writers(out, errOut), kong.UsageOnError(), kong.Exit(func(code int) { panic(exit(code)) }),
+	k, err := kong.New(&c, kong.Name("ledgepin"), kong.Writers(out, errOut), kong.UsageOnError(), kong.Exit(func(code int) { panic(exitCode(code)) }),
 		kong.Description("A router for separate prefill and decode pools."))
 	if err != nil {
 		fmt.Fprintln(errOut, err)
@@ -65,13 +65,13 @@
 	return runKong(ctx, k, args, out, errOut)
 }
 
-// exit carries the code with which kong wants to end, after printing help.
-type exit int
+// exitCode carries the code with which kong wants to end, after printing help.
+type exitCode int
 
 func runKong(ctx context.Context, k *kong.Kong, args []string, out, errOut io.Writer) (code int) {
 	defer func() {
 		if r := recover(); r != nil {
-			e, ok := r.(exit)
+			e, ok := r.(exitCode)
 			if !ok {
 				panic(r)
 			}
@@ -83,15 +83,15 @@
 		fmt.Fprintln(errOut, "ledgepin:", err)
 		return ExitUsage
 	}
-	if err := kctx.Run(&streams{ctx: ctx, out: out, err: errOut}); err != nil {
-		fmt.Fprintln(errOut, "ledgepin:", line(err))
+	if err := kctx.Run(&commandIO{ctx: ctx, out: out, err: errOut}); err != nil {
+		fmt.Fprintln(errOut, "ledgepin:", errorText(err))
 		return ExitFailed
 	}
 	return ExitOK
 }
 
-// line returns what an operator needs to see of an error.
-func line(err error) string {
+// errorText returns what an operator needs to see of an error.
+func errorText(err error) string {
 	var f *fault.Error
 	if errors.As(err, &f) {
 		return f.Error()
@@ -108,7 +108,7 @@
 }
 
 // Run implements the dev command.
-func (c *devCmd) Run(s *streams) error {
+func (c *devCmd) Run(s *commandIO) error {
 	ctx, stop := signal.NotifyContext(s.ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log, _ := config.Log{Level: c.LogLevel, Format: "text"}.Logger()
@@ -123,9 +123,9 @@
 		return err
 	}
 	<-ctx.Done()
-	drain, cancel := context.WithTimeout(context.WithoutCancel(ctx), 10*time.Second)
+	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 10*time.Second)
 	defer cancel()
-	d.Drain(drain)
+	d.Drain(drainCtx)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 }
 
 // Run implements the run command.
-func (c *runCmd) Run(s *streams) error {
+func (c *runCmd) Run(s *commandIO) error {
 	f, data, err := config.Load(c.Config)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 }
 
 // Run implements the check command.
-func (c *checkCmd) Run(s *streams) error {
+func (c *checkCmd) Run(s *commandIO) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 		_, err = settings.Parse(c.File, data)
 	} else {
 		_, err = config.Parse(c.File, data)
-		if _, asTree := settings.Parse(c.File, data); err != nil && asTree == nil {
+		if _, treeErr := settings.Parse(c.File, data); err != nil && treeErr == nil {
 			return fmt.Errorf("%s is a settings tree, not the settings of a process: use --tree", c.File)
 		}
 	}
@@ -188,7 +188,7 @@
 }
 
 // Run implements the events command.
-func (c *eventsCmd) Run(s *streams) error {
+func (c *eventsCmd) Run(s *commandIO) error {
 	switch {
 	case c.Markdown:
 		return event.WriteMarkdown(s.out)
@@ -208,7 +208,7 @@
 type versionCmd struct{}
 
 // Run implements the version command.
-func (c *versionCmd) Run(s *streams) error {
+func (c *versionCmd) Run(s *commandIO) error {
 	goVersion := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
 		goVersion = info.GoVersion
--- a/cli/client.go
+++ b/cli/client.go
@@ -84,13 +84,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return problem(resp, addr)
+		return responseError(resp, addr)
 	}
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// problem turns an error answer into an error; a lost race lists what changed.
-func problem(resp *http.Response, addr string) error {
+// responseError turns an error answer into an error; a lost race lists what changed.
+func responseError(resp *http.Response, addr string) error {
 	var p operator.Problem
 	if err := json.NewDecoder(resp.Body).Decode(&p); err != nil {
 		return fault.New(fault.Internal, fault.StepLink, addr, fmt.Sprintf("status %d", resp.StatusCode))
@@ -105,17 +105,17 @@
 	return fault.New(fault.ByID(p.Code), fault.Step(p.Step), addr, detail)
 }
 
-// first tries the addresses in turn until one can answer.
-func (t *target) first(ctx context.Context, method, path string, in, out any) error {
-	var last error
+// callAny tries the addresses in turn until one can answer.
+func (t *target) callAny(ctx context.Context, method, path string, in, out any) error {
+	var lastErr error
 	for _, addr := range t.Operator {
-		last = t.call(ctx, addr, method, path, in, out)
-		again := fault.Is(last, fault.NotLeader) || fault.Is(last, fault.LinkLost) || fault.Is(last, fault.NotFound)
-		if !again {
-			return last
+		lastErr = t.call(ctx, addr, method, path, in, out)
+		retry := fault.Is(lastErr, fault.NotLeader) || fault.Is(lastErr, fault.LinkLost) || fault.Is(lastErr, fault.NotFound)
+		if !retry {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
 type settingsCmd struct {
@@ -134,22 +134,22 @@
 }
 
 // Run implements the settings get command.
-func (c *getCmd) Run(s *streams) error {
+func (c *getCmd) Run(s *commandIO) error {
 	if c.Effective {
 		return c.effective(s)
 	}
-	var cur control.CurrentSettings
-	if err := c.first(s.ctx, http.MethodGet, "/v1/settings", nil, &cur); err != nil {
+	var current control.CurrentSettings
+	if err := c.callAny(s.ctx, http.MethodGet, "/v1/settings", nil, &current); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(s.out, "# revision %d\n%s", cur.Revision, cur.Text)
+	_, err := fmt.Fprintf(s.out, "# revision %d\n%s", current.Revision, current.Text)
 	return err
 }
 
-func (c *getCmd) effective(s *streams) error {
+func (c *getCmd) effective(s *commandIO) error {
 	q := url.Values{"site": {c.Site}, "pool": {c.Pool}, "model": {c.Model}}
 	var values []settings.Value
-	if err := c.first(s.ctx, http.MethodGet, "/v1/settings/effective?"+q.Encode(), nil, &values); err != nil {
+	if err := c.callAny(s.ctx, http.MethodGet, "/v1/settings/effective?"+q.Encode(), nil, &values); err != nil {
 		return err
 	}
 	for _, v := range values {
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// change are the flags that all changes have.
-type change struct {
+// changeFlags are the flags that all changes have.
+type changeFlags struct {
 	target
 	ID     string `help:"Change ID; give the same one again to resend a change."`
 	Base   int64  `default:"-1" help:"Revision that the change is based on; the newest if not given."`
@@ -170,13 +170,13 @@
 }
 
 // send makes a change and prints the outcome.
-func (c *change) send(s *streams, base uint64, text string) error {
+func (c *changeFlags) send(s *commandIO, base uint64, text string) error {
 	if c.ID == "" {
 		c.ID = newChangeID()
 	}
-	in := operator.Change{ID: c.ID, Base: base, Text: text, Who: who(), Note: c.Note, Dry: c.DryRun}
+	in := operator.Change{ID: c.ID, Base: base, Text: text, Who: username(), Note: c.Note, Dry: c.DryRun}
 	var out control.Outcome
-	if err := c.first(s.ctx, http.MethodPost, "/v1/settings", in, &out); err != nil {
+	if err := c.callAny(s.ctx, http.MethodPost, "/v1/settings", in, &out); err != nil {
 		if fault.Is(err, fault.ChangeOutcomeUnknown) {
 			return fmt.Errorf("%w (resend with --id %s)", err, c.ID)
 		}
@@ -199,7 +199,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-func who() string {
+func username() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -207,12 +207,12 @@
 }
 
 type applyCmd struct {
-	change
+	changeFlags
 	File string `arg:"" type:"path" help:"File with the whole tree."`
 }
 
 // Run implements the settings apply command.
-func (c *applyCmd) Run(s *streams) error {
+func (c *applyCmd) Run(s *commandIO) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -222,35 +222,35 @@
 	}
 	base := uint64(max(c.Base, 0))
 	if c.Base < 0 {
-		var cur control.CurrentSettings
-		if err := c.first(s.ctx, http.MethodGet, "/v1/settings", nil, &cur); err != nil {
+		var current control.CurrentSettings
+		if err := c.callAny(s.ctx, http.MethodGet, "/v1/settings", nil, &current); err != nil {
 			return err
 		}
-		base = cur.Revision
+		base = current.Revision
 	}
 	return c.send(s, base, string(data))
 }
 
 type setCmd struct {
-	change
+	changeFlags
 	Path  string `arg:"" help:"Dotted path of the value, such as fleet.queue_limit."`
 	Value string `arg:"" help:"New value in YAML."`
 }
 
 // Run implements the settings set command.
-func (c *setCmd) Run(s *streams) error {
-	var cur control.CurrentSettings
-	if err := c.first(s.ctx, http.MethodGet, "/v1/settings", nil, &cur); err != nil {
+func (c *setCmd) Run(s *commandIO) error {
+	var current control.CurrentSettings
+	if err := c.callAny(s.ctx, http.MethodGet, "/v1/settings", nil, &current); err != nil {
 		return err
 	}
-	if c.Base >= 0 && uint64(c.Base) != cur.Revision {
-		return fault.New(fault.Conflict, fault.StepSettings, "", fmt.Sprintf("based on revision %d, and %d is the newest", c.Base, cur.Revision))
+	if c.Base >= 0 && uint64(c.Base) != current.Revision {
+		return fault.New(fault.Conflict, fault.StepSettings, "", fmt.Sprintf("based on revision %d, and %d is the newest", c.Base, current.Revision))
 	}
-	text, err := settings.Set([]byte(cur.Text), strings.Split(c.Path, "."), c.Value)
+	text, err := settings.Set([]byte(current.Text), strings.Split(c.Path, "."), c.Value)
 	if err != nil {
 		return err
 	}
-	return c.send(s, cur.Revision, string(text))
+	return c.send(s, current.Revision, string(text))
 }
 
 type historyCmd struct {
@@ -259,9 +259,9 @@
 }
 
 // Run implements the settings history command.
-func (c *historyCmd) Run(s *streams) error {
+func (c *historyCmd) Run(s *commandIO) error {
 	var past []fleet.Past
-	if err := c.first(s.ctx, http.MethodGet, fmt.Sprintf("/v1/settings/history?after=%d", c.After), nil, &past); err != nil {
+	if err := c.callAny(s.ctx, http.MethodGet, fmt.Sprintf("/v1/settings/history?after=%d", c.After), nil, &past); err != nil {
 		return err
 	}
 	for _, p := range past {
@@ -280,10 +280,10 @@
 }
 
 // Run implements the dump command.
-func (c *dumpCmd) Run(s *streams) error {
+func (c *dumpCmd) Run(s *commandIO) error {
 	t := target{Operator: []string{c.Address}, TokenFile: c.TokenFile, CA: c.CA}
 	var out json.RawMessage
-	if err := t.first(s.ctx, http.MethodGet, "/v1/dump", nil, &out); err != nil {
+	if err := t.callAny(s.ctx, http.MethodGet, "/v1/dump", nil, &out); err != nil {
 		return err
 	}
 	var pretty bytes.Buffer
@@ -302,23 +302,23 @@
 
 // Run implements the explain command: it asks all addresses and joins what
 // they know, or reads log files.
-func (c *explainCmd) Run(s *streams) error {
+func (c *explainCmd) Run(s *commandIO) error {
 	if len(c.Log) > 0 {
 		return explainLogs(s.out, c.ID, c.Log)
 	}
 	var found []decision.Record
-	var last error
+	var lastErr error
 	for _, addr := range c.Operator {
 		var rec decision.Record
 		err := c.call(s.ctx, addr, http.MethodGet, "/v1/explain/"+url.PathEscape(c.ID), nil, &rec)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		found = append(found, rec)
 	}
 	if len(found) == 0 {
-		return errors.Join(last)
+		return errors.Join(lastErr)
 	}
 	return decision.Merge(found).Write(s.out)
 }
--- a/cli/evacuate.go
+++ b/cli/evacuate.go
@@ -22,7 +22,7 @@
 }
 
 // Run implements the evacuate start command.
-func (c *evacuateStartCmd) Run(s *streams) error { return c.evacuate(s, c.Zone, "start") }
+func (c *evacuateStartCmd) Run(s *commandIO) error { return c.evacuate(s, c.Zone, "start") }
 
 type evacuateFinishCmd struct {
 	target
@@ -30,11 +30,11 @@
 }
 
 // Run implements the evacuate finish command.
-func (c *evacuateFinishCmd) Run(s *streams) error { return c.evacuate(s, c.Zone, "finish") }
+func (c *evacuateFinishCmd) Run(s *commandIO) error { return c.evacuate(s, c.Zone, "finish") }
 
-func (t *target) evacuate(s *streams, zone, what string) error {
+func (t *target) evacuate(s *commandIO, zone, action string) error {
 	var zones []fleet.EvacuatedZone
-	if err := t.first(s.ctx, http.MethodPost, "/v1/evacuations/"+url.PathEscape(zone)+"/"+what, nil, &zones); err != nil {
+	if err := t.callAny(s.ctx, http.MethodPost, "/v1/evacuations/"+url.PathEscape(zone)+"/"+action, nil, &zones); err != nil {
 		return err
 	}
 	return printEvacuated(s.out, zones)
@@ -43,9 +43,9 @@
 type evacuateStatusCmd struct{ target }
 
 // Run implements the evacuate status command.
-func (c *evacuateStatusCmd) Run(s *streams) error {
+func (c *evacuateStatusCmd) Run(s *commandIO) error {
 	var zones []fleet.EvacuatedZone
-	if err := c.first(s.ctx, http.MethodGet, "/v1/evacuations", nil, &zones); err != nil {
+	if err := c.callAny(s.ctx, http.MethodGet, "/v1/evacuations", nil, &zones); err != nil {
 		return err
 	}
 	return printEvacuated(s.out, zones)
--- a/cli/explain_logs.go
+++ b/cli/explain_logs.go
@@ -13,7 +13,7 @@
 
 // logLine is one line of a process's log about a request.
 type logLine struct {
-	at     time.Time
+	time   time.Time
 	file   int
 	number int
 	fields map[string]any
@@ -27,7 +27,7 @@
 func explainLogs(out io.Writer, id string, files []string) error {
 	var found []logLine
 	for n, name := range files {
-		lines, err := linesOf(name, n, id)
+		lines, err := readLogLines(name, n, id)
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 		if a.file == b.file {
 			return a.number - b.number // the time of day may have jumped
 		}
-		return a.at.Compare(b.at)
+		return a.time.Compare(b.time)
 	})
 	for _, l := range found {
 		if _, err := fmt.Fprintln(out, l.text()); err != nil {
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// linesOf returns the lines of a file that are about a request. Lines that are
+// readLogLines returns the lines of a file that are about a request. Lines that are
 // no JSON are passed over.
-func linesOf(name string, file int, id string) ([]logLine, error) {
+func readLogLines(name string, file int, id string) ([]logLine, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
@@ -62,16 +62,16 @@
 	sc := bufio.NewScanner(f)
 	sc.Buffer(nil, maxLogLine)
 	for number := 0; sc.Scan(); number++ {
-		at := strings.IndexByte(sc.Text(), '{')
-		if at < 0 || !strings.Contains(sc.Text(), id) {
+		start := strings.IndexByte(sc.Text(), '{')
+		if start < 0 || !strings.Contains(sc.Text(), id) {
 			continue
 		}
 		l := logLine{file: file, number: number, fields: map[string]any{}}
-		if json.Unmarshal(sc.Bytes()[at:], &l.fields) != nil || l.fields["id"] != id {
+		if json.Unmarshal(sc.Bytes()[start:], &l.fields) != nil || l.fields["id"] != id {
 			continue
 		}
-		when, _ := l.fields["time"].(string)
-		l.at, _ = time.Parse(time.RFC3339Nano, when)
+		timestamp, _ := l.fields["time"].(string)
+		l.time, _ = time.Parse(time.RFC3339Nano, timestamp)
 		out = append(out, l)
 	}
 	return out, sc.Err()
@@ -80,17 +80,17 @@
 // text writes a line for a person: time, process, event, and the fields.
 func (l *logLine) text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %v: %v (%v)", l.at.Format("15:04:05.000"), l.fields["name"], l.fields["msg"], l.fields["event"])
-	var rest []string
+	fmt.Fprintf(&b, "%s %v: %v (%v)", l.time.Format("15:04:05.000"), l.fields["name"], l.fields["msg"], l.fields["event"])
+	var names []string
 	for name := range l.fields {
 		switch name {
 		case "time", "level", "msg", "event", "name", "role", "id":
 		default:
-			rest = append(rest, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(rest)
-	for _, name := range rest {
+	slices.Sort(names)
+	for _, name := range names {
 		if v := l.fields[name]; v != nil {
 			fmt.Fprintf(&b, " %s=%v", name, v)
 		}
--- a/cli/upgrade.go
+++ b/cli/upgrade.go
@@ -25,9 +25,9 @@
 }
 
 // Run implements the upgrade status command.
-func (c *upgradeStatusCmd) Run(s *streams) error {
+func (c *upgradeStatusCmd) Run(s *commandIO) error {
 	var u control.UpgradeStatus
-	if err := c.first(s.ctx, http.MethodGet, "/v1/upgrade", nil, &u); err != nil {
+	if err := c.callAny(s.ctx, http.MethodGet, "/v1/upgrade", nil, &u); err != nil {
 		return err
 	}
 	return printUpgrade(s.out, u, c.JSON)
@@ -40,9 +40,9 @@
 
 // Run implements the upgrade raise command. Not to have raised the version is an error, since
 // whoever asked for it may want to go on with what needs it.
-func (c *upgradeRaiseCmd) Run(s *streams) error {
+func (c *upgradeRaiseCmd) Run(s *commandIO) error {
 	var u control.UpgradeStatus
-	if err := c.first(s.ctx, http.MethodPost, "/v1/upgrade/raise", operator.Raise{Who: who()}, &u); err != nil {
+	if err := c.callAny(s.ctx, http.MethodPost, "/v1/upgrade/raise", operator.Raise{Who: username()}, &u); err != nil {
 		return err
 	}
 	if err := printUpgrade(s.out, u, c.JSON); err != nil {
@@ -66,11 +66,11 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d is in force\n", u.Version)
 	for _, m := range u.Members {
-		fmt.Fprintf(&b, "  %-24s %-8s reads %-8s build %s%s\n", m.ID, memberKind(m), told(m.Versions), orUnknown(m.Build), mark(m.Silent, ", silent"))
+		fmt.Fprintf(&b, "  %-24s %-8s reads %-8s build %s%s\n", m.ID, memberKind(m), rangeText(m.Versions), orUnknown(m.Build), textIf(m.Silent, ", silent"))
 	}
-	for _, h := range append(u.Blockers, u.AutomaticBlockers...) {
-		if h.Cause != compat.CauseNewest {
-			fmt.Fprintf(&b, "version %d waits: %s\n", u.Next, holdText(h))
+	for _, blocker := range append(u.Blockers, u.AutomaticBlockers...) {
+		if blocker.Cause != compat.CauseNewest {
+			fmt.Fprintf(&b, "version %d waits: %s\n", u.Next, blockerText(blocker))
 		}
 	}
 	if u.Since != nil && u.Next != 0 {
@@ -93,7 +93,7 @@
 	return "learner"
 }
 
-func told(r *compat.Range) string {
+func rangeText(r *compat.Range) string {
 	if r == nil {
 		return "?"
 	}
@@ -107,28 +107,28 @@
 	return build
 }
 
-func mark(set bool, text string) string {
+func textIf(set bool, text string) string {
 	if set {
 		return text
 	}
 	return ""
 }
 
-// holdText tells a cause in words.
-func holdText(h compat.Blocker) string {
-	switch h.Cause {
+// blockerText tells a cause in words.
+func blockerText(blocker compat.Blocker) string {
+	switch blocker.Cause {
 	case compat.CauseProposed:
 		return "it was proposed and is not yet in force"
 	case compat.CauseNeverReported:
-		return h.Member + " has told the leader nothing yet"
+		return blocker.Member + " has told the leader nothing yet"
 	case compat.CauseUnable:
-		return fmt.Sprintf("%s reads %s", h.Member, told(h.Range))
+		return fmt.Sprintf("%s reads %s", blocker.Member, rangeText(blocker.Range))
 	case compat.CauseSilent:
-		return h.Member + " is out of touch"
+		return blocker.Member + " is out of touch"
 	case compat.CauseSettling:
-		return fmt.Sprintf("it rises by itself in %s, or with ledgepin upgrade raise", h.Remaining.Round(time.Second))
+		return fmt.Sprintf("it rises by itself in %s, or with ledgepin upgrade raise", blocker.Remaining.Round(time.Second))
 	case compat.CauseOperatorOnly:
 		return "it rises with ledgepin upgrade raise"
 	}
-	return string(h.Cause)
+	return string(blocker.Cause)
 }
