--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of ledgepin.
+// Package cli implements the command line of ledgepin.
 package cli
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// Exit codes.
+// Exit codes of Main.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
@@ -33,7 +33,7 @@
 // Version is the version of this build.
 const Version = "0.1.0"
 
-// commands is the command line as kong reads it.
+// commands is the grammar of the command line for kong.
 type commands struct {
 	Dev      devCmd      `cmd:"" help:"Run every role in this process, with stand-in engines."`
 	Run      runCmd      `cmd:"" help:"Run the roles of a settings file."`
@@ -47,7 +47,7 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// commandIO are where a command reads and writes.
+// commandIO is the context and the output streams of a command.
 type commandIO struct {
 	ctx      context.Context
 	out, err io.Writer
@@ -65,7 +65,8 @@
 	return runKong(ctx, k, args, out, errOut)
 }
 
-// exitCode carries the code with which kong wants to end, after printing help.
+// exitCode is the value of the panic that ends kong's parser with an exit code, after it has
+// printed help.
 type exitCode int
 
 func runKong(ctx context.Context, k *kong.Kong, args []string, out, errOut io.Writer) (code int) {
@@ -90,7 +91,8 @@
 	return ExitOK
 }
 
-// errorText returns what an operator needs to see of an error.
+// errorText returns the text of the first fault.Error in the chain of err, which has the code and
+// the peer, or else the text of err.
 func errorText(err error) string {
 	var f *fault.Error
 	if errors.As(err, &f) {
@@ -150,7 +152,7 @@
 	defer p.Close()
 	go p.Watch(ctx, c.Config, data, sighup.C)
 	<-ctx.Done()
-	stop() // a second signal ends the process at once
+	stop() // a second signal terminates the process at once
 	p.Drain(context.WithoutCancel(ctx))
 	return nil
 }
--- a/cli/client.go
+++ b/cli/client.go
@@ -26,18 +26,18 @@
 	"github.com/ledgepin/ledgepin/settings"
 )
 
-// callTimeout bounds one call. It is longer than control takes to answer a
-// change, and short enough to try another address when one hangs.
+// callTimeout limits one call. Control answers a change in less time, and when an address does
+// not respond, the next one is tried soon.
 const callTimeout = 5 * time.Second
 
-// target is how the commands reach operators' listeners.
+// target has the flags that select the operators' listeners to call.
 type target struct {
 	Operator  []string `default:"127.0.0.1:8081" help:"Operators' addresses, tried in turn."`
 	TokenFile string   `type:"path" help:"File with the operators' token."`
 	CA        string   `type:"path" help:"Use TLS, and check the certificate against this file."`
 }
 
-// client returns the HTTP client and the scheme to use.
+// client returns the HTTP client and the prefix of URLs with the scheme.
 func (t *target) client() (*http.Client, string, error) {
 	if t.CA == "" {
 		return http.DefaultClient, "http://", nil
@@ -50,7 +50,8 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: c}}, "https://", nil
 }
 
-// call sends a request to one address and reads the JSON answer into out.
+// call sends a request with in as its JSON body, if any, to one address, and decodes the JSON
+// response into out.
 func (t *target) call(ctx context.Context, addr, method, path string, in, out any) error {
 	token, err := config.ReadToken(t.TokenFile)
 	if err != nil {
@@ -89,7 +90,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// responseError turns an error answer into an error; a lost race lists what changed.
+// responseError converts an error response to a fault. After a conflict, its text lists the
+// changes since the base revision.
 func responseError(resp *http.Response, addr string) error {
 	var p operator.Problem
 	if err := json.NewDecoder(resp.Body).Decode(&p); err != nil {
@@ -105,7 +107,8 @@
 	return fault.New(fault.ByID(p.Code), fault.Step(p.Step), addr, detail)
 }
 
-// callAny tries the addresses in turn until one can answer.
+// callAny calls the addresses in order until one is reachable, leads where the call requires it,
+// and has what is asked for.
 func (t *target) callAny(ctx context.Context, method, path string, in, out any) error {
 	var lastErr error
 	for _, addr := range t.Operator {
@@ -160,7 +163,7 @@
 	return nil
 }
 
-// changeFlags are the flags that all changes have.
+// changeFlags has the flags of all commands that change the settings.
 type changeFlags struct {
 	target
 	ID     string `help:"Change ID; give the same one again to resend a change."`
@@ -169,7 +172,7 @@
 	DryRun bool   `help:"Only check and show what would change."`
 }
 
-// send makes a change and prints the outcome.
+// send submits a change and prints the outcome.
 func (c *changeFlags) send(s *commandIO, base uint64, text string) error {
 	if c.ID == "" {
 		c.ID = newChangeID()
@@ -300,8 +303,8 @@
 	ID  string   `arg:"" name:"request-id" help:"ID of the request, from its header or the log."`
 }
 
-// Run implements the explain command: it asks all addresses and joins what
-// they know, or reads log files.
+// Run implements the explain command: it merges the decision records of all addresses, or reads
+// log files.
 func (c *explainCmd) Run(s *commandIO) error {
 	if len(c.Log) > 0 {
 		return explainLogs(s.out, c.ID, c.Log)
--- a/cli/logs_fuzz_test.go
+++ b/cli/logs_fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/ledgepin/ledgepin/cli"
 )
 
-// FuzzLogs feeds the reader of log files any file, and wants the lines of others in it never
-// told.
+// FuzzLogs checks that explain reads any log file without a panic, and prints nothing and fails
+// if no line is about the request.
 func FuzzLogs(f *testing.F) {
 	f.Add([]byte(`{"time":"2026-01-02T10:00:00Z","msg":"done","name":"g1","event":"LP2003","id":"q1","x":{"id":"q1"}}`))
 	f.Add([]byte("q1 {\nnull q1\n{\"id\":\"q1\",\"time\":7}\n"))
--- a/cli/upgrade.go
+++ b/cli/upgrade.go
@@ -38,8 +38,8 @@
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run implements the upgrade raise command. Not to have raised the version is an error, since
-// whoever asked for it may want to go on with what needs it.
+// Run implements the upgrade raise command. It returns an error if the version was not raised,
+// since scripts may continue with steps that require the new version.
 func (c *upgradeRaiseCmd) Run(s *commandIO) error {
 	var u control.UpgradeStatus
 	if err := c.callAny(s.ctx, http.MethodPost, "/v1/upgrade/raise", operator.Raise{Who: username()}, &u); err != nil {
@@ -114,17 +114,17 @@
 	return ""
 }
 
-// blockerText tells a cause in words.
+// blockerText describes a blocker to an operator.
 func blockerText(blocker compat.Blocker) string {
 	switch blocker.Cause {
 	case compat.CauseProposed:
 		return "it was proposed and is not yet in force"
 	case compat.CauseNeverReported:
-		return blocker.Member + " has told the leader nothing yet"
+		return blocker.Member + " has not reported to the leader yet"
 	case compat.CauseUnable:
 		return fmt.Sprintf("%s reads %s", blocker.Member, rangeText(blocker.Range))
 	case compat.CauseSilent:
-		return blocker.Member + " is out of touch"
+		return blocker.Member + " is disconnected"
 	case compat.CauseSettling:
 		return fmt.Sprintf("it rises by itself in %s, or with ledgepin upgrade raise", blocker.Remaining.Round(time.Second))
 	case compat.CauseOperatorOnly:
--- a/cli/upgrade_test.go
+++ b/cli/upgrade_test.go
@@ -19,8 +19,8 @@
 	"github.com/ledgepin/ledgepin/operator"
 )
 
-// startReplica runs the first replica of a group of two, of which the other never comes, or the
-// only one, and returns its operators' address.
+// startReplica starts the only replica of a control group and returns the address of its
+// operators' listener.
 func startReplica(t *testing.T, conf control.Config) string {
 	t.Helper()
 	conf.Name, conf.Zone = "a", "z"
