--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -142,10 +142,10 @@
 		return 0, err
 	}
 	u := soak.SummarizeUpgrade(upgraded)
-	during, n := soak.Share(upgraded, u.From, u.To)
-	duringStay, nStay := soak.Share(h, u.From, u.To)
-	all, _ := soak.Share(upgraded, 0, h.Length)
-	allStay, _ := soak.Share(h, 0, h.Length)
+	during, n := soak.ServedShare(upgraded, u.From, u.To)
+	duringStay, nStay := soak.ServedShare(h, u.From, u.To)
+	all, _ := soak.ServedShare(upgraded, 0, h.Length)
+	allStay, _ := soak.ServedShare(h, 0, h.Length)
 	fmt.Printf("   without:  %s\n", soak.SummarizeUpgrade(h))
 	fmt.Printf("   served:   %.4f of %d during the upgrade, %.4f of %d without it; %.4f in all, %.4f without it\n", during, n, duringStay, nStay, all, allStay)
 	for _, v := range violations {
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	h, err := soak.Run(ctx, soak.Options{Binary: binary, Dir: dir, Seed: seed, Length: o.Length, Shape: shape, PlainTexts: o.PlainTexts, Production: o.Production, Stay: stay, Calm: o.Calm, Without: kinds(o.Without)})
+	h, err := soak.Run(ctx, soak.Options{Binary: binary, Dir: dir, Seed: seed, Length: o.Length, Shape: shape, PlainTexts: o.PlainTexts, Production: o.Production, NoUpgrade: stay, PlannedOnly: o.Calm, Without: kinds(o.Without)})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -176,7 +176,7 @@
 		if stay {
 			name += "-without"
 		}
-		if err := soak.Keep(filepath.Join(o.Keep, name), dir, h, violations); err != nil {
+		if err := soak.SaveRun(filepath.Join(o.Keep, name), dir, h, violations); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -53,7 +53,7 @@
 		f.control(ctx, step)
 	case ChangeTable:
 		f.ops.change(ctx, appService)
-	case BadTable:
+	case InvalidTable:
 		f.ops.change(ctx, "none")
 	case RaceTables:
 		var wg sync.WaitGroup
@@ -63,11 +63,11 @@
 		wg.Wait()
 	case EvacuateZone:
 		f.ops.evacuate(ctx, step)
-	case NameLimit:
+	case ReportLimit:
 		f.nameLimit(ctx, step)
-	case AskPause:
+	case RequestPauses:
 		f.askPause(ctx, step)
-	case SayLeaving:
+	case ReportLeaving:
 		f.sayLeaving(ctx, step)
 	case SlowReaders:
 		f.slowCallers(ctx, step)
@@ -95,7 +95,7 @@
 			out = append(out, controlName(n))
 		}
 		return out
-	case ChangeTable, RaceTables, BadTable, EvacuateZone, Burst, NameLimit, AskPause, SlowReaders:
+	case ChangeTable, RaceTables, InvalidTable, EvacuateZone, Burst, ReportLimit, RequestPauses, SlowReaders:
 		return []string{string(step.Kind)}
 	}
 	b, _ := f.site.servers[step.Target].now()
@@ -228,25 +228,25 @@
 		})
 		sleep(ctx, step.For)
 		b.SetFault(nil)
-	case TroubleCalls, BreakStreams, CloseStreams:
+	case DisturbCalls, BreakStreams, CloseStreams:
 		v.mu.Lock()
 		t := v.trouble
 		v.mu.Unlock()
 		t.set(step.Kind, 1)
 		sleep(ctx, step.For)
 		t.set(step.Kind, -1)
-	case SecondAnswers:
+	case DuplicateAnswers:
 		p.second(true)
 		sleep(ctx, step.For)
 		p.second(false)
-	case Reset:
+	case ResetLink:
 		p.reset()
-	case Silence, SilenceBack, Delay:
+	case SilenceLink, SilenceAnswers, DelayLink:
 		delay := time.Duration(0)
-		if step.Kind == Delay {
+		if step.Kind == DelayLink {
 			delay = 30 * time.Millisecond
 		}
-		p.set(step.Kind == Silence, step.Kind == SilenceBack, delay)
+		p.set(step.Kind == SilenceLink, step.Kind == SilenceAnswers, delay)
 		sleep(ctx, step.For)
 		p.set(false, false, 0)
 	}
--- a/soak/history.go
+++ b/soak/history.go
@@ -170,7 +170,7 @@
 	Limits  []ServerLimit
 	Limited []LimitedArrival
 	// Asked is what came to servers that had said something of themselves.
-	Asked []AskedArrival
+	Asked []SelfReportArrival
 	// HeldKV are the KV caches that engines still held for nobody after the end,
 	// and HeldRoom is the number of holds.
 	HeldKV   []HeldKV
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -75,7 +75,7 @@
 				continue
 			}
 			free[target] = at + d + 2*time.Second // it ends late if it names none at times
-			out = append(out, Step{At: at, For: min(d, length-at), Kind: NameLimit, Target: target, Draw: r.Uint64()})
+			out = append(out, Step{At: at, For: min(d, length-at), Kind: ReportLimit, Target: target, Seed: r.Uint64()})
 		}
 	}
 	return out
@@ -83,7 +83,7 @@
 
 // nameLimit has a server name limits for a time.
 func (f *faults) nameLimit(ctx context.Context, step Step) {
-	r := rand.New(rand.NewPCG(step.Draw, 10))
+	r := rand.New(rand.NewPCG(step.Seed, 10))
 	manner := limitManners[r.IntN(len(limitManners))]
 	b, _ := f.site.servers[step.Target].now()
 	first, end := f.rec.now(), f.rec.now()+step.For
--- a/soak/pauses.go
+++ b/soak/pauses.go
@@ -15,7 +15,7 @@
 
 // AskedArrival is one request or call that came to a server which had said something of itself, and
 // what its answer said.
-type AskedArrival struct {
+type SelfReportArrival struct {
 	Server, ID, Path string
 	At               time.Duration
 	// Pause is what a refusal asked for; zero if none, or one that can't be read.
@@ -57,21 +57,21 @@
 	engines := shape.Prefills + shape.Decodes
 	free := map[int]time.Duration{}
 	for at := time.Duration(float64(calmStart) * (0.5 + r.Float64())); at < length-calmEnd; at += time.Duration(float64(4*time.Second) * r.Float64()) {
-		kind, n := AskPause, 1+r.IntN(shape.Apps)
+		kind, n := RequestPauses, 1+r.IntN(shape.Apps)
 		first := engines + r.IntN(shape.Apps)
 		d := time.Duration((0.5 + 4*r.Float64()) * float64(time.Second))
 		if r.IntN(3) == 0 {
 			first, n = r.IntN(engines), 1
 		}
 		if r.IntN(4) == 0 {
-			kind, n, d = SayLeaving, 1, drainBound+2*time.Second
+			kind, n, d = ReportLeaving, 1, drainBound+2*time.Second
 		}
 		for _, target := range shape.serversFrom(first, n) {
 			if at < free[target] {
 				continue
 			}
 			free[target] = at + d + time.Second
-			out = append(out, Step{At: at, For: min(d, length-at), Kind: kind, Target: target, Draw: r.Uint64()})
+			out = append(out, Step{At: at, For: min(d, length-at), Kind: kind, Target: target, Seed: r.Uint64()})
 		}
 	}
 	return out
@@ -80,7 +80,7 @@
 // askPause has a server ask for pauses for a time.
 func (f *faults) askPause(ctx context.Context, step Step) {
 	b, _ := f.site.servers[step.Target].now()
-	b.SetSays(pauseSays(step.Draw))
+	b.SetSays(pauseSays(step.Seed))
 	sleep(ctx, step.For)
 	b.SetSays(nil)
 	f.rec.count("asked for pauses")
@@ -117,7 +117,7 @@
 	v.life.Lock()
 	defer v.life.Unlock()
 	b, _ := v.now()
-	some := step.Draw%2 == 0
+	some := step.Seed%2 == 0
 	b.SetSays(func(r *http.Request) standin.Says {
 		if some && len(r.Header.Get(headers.RequestID))%2 == 0 {
 			return standin.Says{}
@@ -131,8 +131,8 @@
 }
 
 // askedArrival returns an arrival as it is judged.
-func (s *site) askedArrival(b *standin.Backend, a standin.Asked) AskedArrival {
-	out := AskedArrival{Server: b.ID, ID: a.ID, Path: a.Path, At: a.At.Sub(s.rec.start), Leaving: len(a.Leaving) > 0}
+func (s *site) askedArrival(b *standin.Backend, a standin.Asked) SelfReportArrival {
+	out := SelfReportArrival{Server: b.ID, ID: a.ID, Path: a.Path, At: a.At.Sub(s.rec.start), Leaving: len(a.Leaving) > 0}
 	if len(a.RetryAfter) == 1 && strings.Trim(a.RetryAfter[0], "0123456789.") == "" {
 		if seconds, err := strconv.ParseFloat(a.RetryAfter[0], 64); err == nil {
 			out.Pause = time.Duration(seconds * float64(time.Second))
@@ -142,7 +142,7 @@
 }
 
 // wayKinds are the steps at a server that hold up, or lose, what passes between it and gateways.
-var wayKinds = []Kind{Silence, SilenceBack, Reset, Delay, KillServer, SecondAnswers}
+var wayKinds = []Kind{SilenceLink, SilenceAnswers, ResetLink, DelayLink, KillServer, DuplicateAnswers}
 
 // heldUp tells whether what passes between a server and gateways was held up or lost in a time.
 func (h *History) heldUp(server string, from, to time.Duration) bool {
@@ -159,7 +159,7 @@
 		gateways[q.ID] = gatewayName(q.Gateway)
 	}
 	type pair struct{ server, gateway string }
-	came := map[pair][]AskedArrival{}
+	came := map[pair][]SelfReportArrival{}
 	for _, a := range h.Asked {
 		if g := gateways[a.ID]; g != "" {
 			came[pair{a.Server, g}] = append(came[pair{a.Server, g}], a)
@@ -175,7 +175,7 @@
 }
 
 // mostInPause returns the pause in which most came, and how many did.
-func mostInPause(h *History, server, gateway string, list []AskedArrival) (worst AskedArrival, most int) {
+func mostInPause(h *History, server, gateway string, list []SelfReportArrival) (worst SelfReportArrival, most int) {
 	for i, a := range list {
 		end := a.At + a.Pause
 		if a.Pause <= pauseHeed || h.disturbed(gateway, end, end-a.At) || h.heldUp(server, a.At-pauseHeed, end) {
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -13,48 +13,48 @@
 // The kinds. Planned work is what an operator does on purpose: it must cut no
 // request.
 const (
-	KillGateway    Kind = "kill gateway"
-	PauseGateway   Kind = "pause gateway"
-	StopGateway    Kind = "stop gateway" // planned
-	Reload         Kind = "reload"       // planned
-	KillControl    Kind = "kill control"
-	KillAllControl Kind = "kill all control"
-	PauseControl   Kind = "pause control"
-	WipeControl    Kind = "wipe control"
-	KillServer     Kind = "kill server"
-	DrainServer    Kind = "drain server" // planned
-	RefuseRequests Kind = "refuse requests"
-	LoseAnswers    Kind = "lose answers"
-	CutStreams     Kind = "cut streams"
-	Silence        Kind = "silence link"
-	SilenceBack    Kind = "silence answers"
-	Reset          Kind = "reset link"
-	Delay          Kind = "delay link"
-	ChangeTable    Kind = "change table"  // planned
-	RaceTables     Kind = "race tables"   // planned
-	BadTable       Kind = "invalid table" // planned
-	Burst          Kind = "burst"
-	TroubleCalls   Kind = "trouble calls"
-	BreakStreams   Kind = "break streams"
-	CloseStreams   Kind = "close streams"
-	SecondAnswers  Kind = "second answers"
-	Upgrade        Kind = "upgrade"       // planned
-	GoBack         Kind = "go back"       // planned
-	EvacuateZone   Kind = "evacuate zone" // planned
-	NameLimit      Kind = "name limit"
-	SlowReaders    Kind = "slow readers"
-	SlowServer     Kind = "slow server"
-	AskPause       Kind = "ask for a pause"
-	SayLeaving     Kind = "say leaving"
+	KillGateway      Kind = "kill gateway"
+	PauseGateway     Kind = "pause gateway"
+	StopGateway      Kind = "stop gateway" // planned
+	Reload           Kind = "reload"       // planned
+	KillControl      Kind = "kill control"
+	KillAllControl   Kind = "kill all control"
+	PauseControl     Kind = "pause control"
+	WipeControl      Kind = "wipe control"
+	KillServer       Kind = "kill server"
+	DrainServer      Kind = "drain server" // planned
+	RefuseRequests   Kind = "refuse requests"
+	LoseAnswers      Kind = "lose answers"
+	CutStreams       Kind = "cut streams"
+	SilenceLink      Kind = "silence link"
+	SilenceAnswers   Kind = "silence answers"
+	ResetLink        Kind = "reset link"
+	DelayLink        Kind = "delay link"
+	ChangeTable      Kind = "change table"  // planned
+	RaceTables       Kind = "race tables"   // planned
+	InvalidTable     Kind = "invalid table" // planned
+	Burst            Kind = "burst"
+	DisturbCalls     Kind = "trouble calls"
+	BreakStreams     Kind = "break streams"
+	CloseStreams     Kind = "close streams"
+	DuplicateAnswers Kind = "second answers"
+	Upgrade          Kind = "upgrade"       // planned
+	Downgrade        Kind = "go back"       // planned
+	EvacuateZone     Kind = "evacuate zone" // planned
+	ReportLimit      Kind = "name limit"
+	SlowReaders      Kind = "slow readers"
+	SlowServer       Kind = "slow server"
+	RequestPauses    Kind = "ask for a pause"
+	ReportLeaving    Kind = "say leaving"
 )
 
 // Planned tells whether a kind is planned work.
 func (k Kind) Planned() bool {
-	return slices.Contains([]Kind{StopGateway, Reload, DrainServer, ChangeTable, RaceTables, BadTable, Upgrade, GoBack, EvacuateZone}, k)
+	return slices.Contains([]Kind{StopGateway, Reload, DrainServer, ChangeTable, RaceTables, InvalidTable, Upgrade, Downgrade, EvacuateZone}, k)
 }
 
 // Replaces tells whether a kind replaces a process by one of the other build.
-func (k Kind) Replaces() bool { return k == Upgrade || k == GoBack }
+func (k Kind) Replaces() bool { return k == Upgrade || k == Downgrade }
 
 // Step is one fault, or one piece of planned work, of a plan.
 type Step struct {
@@ -70,17 +70,17 @@
 	// waves one after the other.
 	Wave int `json:"wave,omitempty"`
 	// Draw decides what a server says of itself, of a step that has it say something.
-	Draw uint64 `json:"draw,omitempty"`
+	Seed uint64 `json:"draw,omitempty"`
 	// Empty tells that the process starts on an empty disk, as on a new VM.
 	Empty bool `json:"empty,omitempty"`
 	// Hit is how long after its begin the step is hit by a kill; zero if it is not.
-	Hit time.Duration `json:"hit,omitempty"`
+	KillAfter time.Duration `json:"hit,omitempty"`
 }
 
 // String describes a step for people.
 func (s Step) String() string {
 	if s.Kind.Replaces() {
-		return fmt.Sprintf("wave %2d  %s %s after %.2f s, empty disk %t, killed after %.2f s", s.Wave, s.Kind, s.Process, s.For.Seconds(), s.Empty, s.Hit.Seconds())
+		return fmt.Sprintf("wave %2d  %s %s after %.2f s, empty disk %t, killed after %.2f s", s.Wave, s.Kind, s.Process, s.For.Seconds(), s.Empty, s.KillAfter.Seconds())
 	}
 	return fmt.Sprintf("%6.2f s  %s %d for %.2f s", s.At.Seconds(), s.Kind, s.Target, s.For.Seconds())
 }
@@ -120,8 +120,8 @@
 // faultKinds are drawn from; a kind that stands twice comes twice as often.
 var faultKinds = []Kind{
 	KillGateway, PauseGateway, StopGateway, StopGateway, Reload, KillControl, KillAllControl, PauseControl, WipeControl,
-	KillServer, DrainServer, DrainServer, RefuseRequests, LoseAnswers, CutStreams, Silence, SilenceBack, Reset, Delay,
-	ChangeTable, ChangeTable, RaceTables, BadTable, Burst,
+	KillServer, DrainServer, DrainServer, RefuseRequests, LoseAnswers, CutStreams, SilenceLink, SilenceAnswers, ResetLink, DelayLink,
+	ChangeTable, ChangeTable, RaceTables, InvalidTable, Burst,
 }
 
 // NewPlan draws a plan: about one step each 0.8 s, in series and overlapping.
@@ -157,7 +157,7 @@
 }
 
 // streamKinds are drawn from for the engines alone, by a draw of their own.
-var streamKinds = []Kind{TroubleCalls, TroubleCalls, BreakStreams, BreakStreams, CloseStreams, SecondAnswers, SecondAnswers, Reset, DrainServer}
+var streamKinds = []Kind{DisturbCalls, DisturbCalls, BreakStreams, BreakStreams, CloseStreams, DuplicateAnswers, DuplicateAnswers, ResetLink, DrainServer}
 
 // streamSteps draws what befalls the engines' streams, and the calls about them: about one
 // step each second.
--- a/soak/run.go
+++ b/soak/run.go
@@ -24,9 +24,9 @@
 	// Production is the path of another build's binary, on which all processes start; they
 	// are replaced by those of Binary, unless Stay is set.
 	Production string
-	Stay       bool
+	NoUpgrade  bool
 	// Calm leaves out all that is no planned work.
-	Calm bool
+	PlannedOnly bool
 	// Without are kinds of steps that are left out.
 	Without []Kind
 	// PlainTexts has the events of streams hold nothing but plain reports.
@@ -91,19 +91,19 @@
 		return o.Plan, "fixed", "fixed"
 	}
 	plan = NewPlan(o.Seed, o.Length, o.Shape)
-	if o.Production != "" && !o.Stay {
+	if o.Production != "" && !o.NoUpgrade {
 		var steps []Step
 		order, path, steps = NewUpgrade(o.Seed, o.Shape)
 		plan = append(plan, steps...)
 	}
 	plan = slices.DeleteFunc(plan, func(s Step) bool {
 		// Builds that are replaced may know no evacuations.
-		return slices.Contains(o.Without, s.Kind) || o.Production != "" && slices.Contains([]Kind{EvacuateZone, NameLimit, AskPause, SayLeaving}, s.Kind)
+		return slices.Contains(o.Without, s.Kind) || o.Production != "" && slices.Contains([]Kind{EvacuateZone, ReportLimit, RequestPauses, ReportLeaving}, s.Kind)
 	})
-	if o.Calm {
+	if o.PlannedOnly {
 		plan = slices.DeleteFunc(plan, func(s Step) bool { return !s.Kind.Planned() })
 		for i := range plan {
-			plan[i].Hit = 0
+			plan[i].KillAfter = 0
 		}
 	}
 	return plan, order, path
--- a/soak/slow.go
+++ b/soak/slow.go
@@ -32,7 +32,7 @@
 	r := rand.New(rand.NewPCG(seed, 11))
 	var out []Step
 	for at := calmStart; at < length-calmEnd; at += time.Duration(float64(5*time.Second) * r.Float64()) {
-		s := Step{At: at, For: time.Duration((0.5 + 2*r.Float64()) * float64(time.Second)), Draw: r.Uint64()}
+		s := Step{At: at, For: time.Duration((0.5 + 2*r.Float64()) * float64(time.Second)), Seed: r.Uint64()}
 		s.Kind, s.Target = SlowReaders, r.IntN(shape.Gateways)
 		if r.IntN(3) == 0 {
 			s.Kind, s.Target = SlowServer, shape.Prefills+shape.Decodes+r.IntN(shape.Apps)
@@ -45,7 +45,7 @@
 // slowServer has a plain server pause in the middle of its answers for a time.
 func (f *faults) slowServer(ctx context.Context, step Step) {
 	b, _ := f.site.servers[step.Target].now()
-	r := rand.New(rand.NewPCG(step.Draw, 12))
+	r := rand.New(rand.NewPCG(step.Seed, 12))
 	b.SetSlow(time.Duration(r.Float64() * float64(slowestServer)))
 	sleep(ctx, step.For)
 	b.SetSlow(0)
@@ -59,9 +59,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, step.For)
 	defer cancel()
-	r := rand.New(rand.NewPCG(step.Draw, 13))
+	r := rand.New(rand.NewPCG(step.Seed, 13))
 	for i := range slowReaders {
-		q := Request{ID: fmt.Sprintf("slow-%x-%d", step.Draw, i), Kind: Rates, Gateway: step.Target, Organisation: "one", Content: standin.Large(largeAnswer)}
+		q := Request{ID: fmt.Sprintf("slow-%x-%d", step.Seed, i), Kind: Rates, Gateway: step.Target, Organisation: "one", Content: standin.Large(largeAnswer)}
 		pause := time.Duration(r.IntN(3)) * 50 * time.Millisecond // zero reads nothing
 		f.load.wg.Go(func() { f.load.slowly(ctx, q, pause) })
 	}
--- a/soak/summary.go
+++ b/soak/summary.go
@@ -13,15 +13,15 @@
 
 // Summary counts what a run, or several, did.
 type Summary struct {
-	Length                                       time.Duration
-	Steps, Requests, Served, Refused, Failed     int
-	Left, Tables, Reads, Probes, Drains, Arrived int
-	Processes                                    int
+	Length                                               time.Duration
+	Steps, Requests, Served, Refused, Failed             int
+	Disconnected, Tables, Reads, Probes, Drains, Arrived int
+	Processes                                            int
 	// Returns are the tries of callers that came back with a last event, Moves the runs
 	// that went on elsewhere.
-	Returns, Moves int
+	Reconnects, Migrations int
 	// Held are the most bytes that a gateway held for callers.
-	Held int64
+	MaxHeldBytes int64
 	// Troubles counts what went wrong at servers by intent.
 	Troubles map[string]int
 }
@@ -34,19 +34,19 @@
 	}
 	for _, a := range h.Arrivals {
 		if a.Continues {
-			s.Moves++
+			s.Migrations++
 		}
 	}
 	for _, held := range h.MostHeld {
-		s.Held = max(s.Held, held)
+		s.MaxHeldBytes = max(s.MaxHeldBytes, held)
 	}
 	for _, q := range h.Requests {
 		if q.LastID != "" {
-			s.Returns++
+			s.Reconnects++
 		}
 		switch {
 		case q.LeftAt > 0:
-			s.Left++
+			s.Disconnected++
 		case q.Status == http.StatusOK && !q.Cut:
 			s.Served++
 		case q.Status == http.StatusServiceUnavailable, q.Status == http.StatusTooManyRequests, q.Status == http.StatusUnauthorized:
@@ -66,33 +66,33 @@
 	s.Served += o.Served
 	s.Refused += o.Refused
 	s.Failed += o.Failed
-	s.Left += o.Left
+	s.Disconnected += o.Disconnected
 	s.Tables += o.Tables
 	s.Reads += o.Reads
 	s.Probes += o.Probes
 	s.Drains += o.Drains
 	s.Arrived += o.Arrived
-	s.Returns += o.Returns
-	s.Moves += o.Moves
+	s.Reconnects += o.Reconnects
+	s.Migrations += o.Migrations
 	for what, n := range o.Troubles {
 		if s.Troubles == nil {
 			s.Troubles = map[string]int{}
 		}
 		s.Troubles[what] += n
 	}
-	s.Held = max(s.Held, o.Held)
+	s.MaxHeldBytes = max(s.MaxHeldBytes, o.MaxHeldBytes)
 	s.Processes = max(s.Processes, o.Processes)
 }
 
 // String describes the counts for people.
 func (s Summary) String() string {
 	return fmt.Sprintf("%s, %d processes, %d steps, %d requests (%d served, %d refused, %d failed, %d left, %d came back), %d arrivals, %d of them moves, %d tables, %d reads, %d probes, %d drains, %.1f MB held, %v",
-		s.Length, s.Processes, s.Steps, s.Requests, s.Served, s.Refused, s.Failed, s.Left, s.Returns, s.Arrived, s.Moves, s.Tables, s.Reads, s.Probes, s.Drains, float64(s.Held)/1e6, s.Troubles)
+		s.Length, s.Processes, s.Steps, s.Requests, s.Served, s.Refused, s.Failed, s.Disconnected, s.Reconnects, s.Arrived, s.Migrations, s.Tables, s.Reads, s.Probes, s.Drains, float64(s.MaxHeldBytes)/1e6, s.Troubles)
 }
 
 // Keep copies the logs of a run, its history and the rules that it broke into a
 // folder.
-func Keep(folder, dir string, h *History, violations []Violation) error {
+func SaveRun(folder, dir string, h *History, violations []Violation) error {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return err
 	}
--- a/soak/trouble.go
+++ b/soak/trouble.go
@@ -71,7 +71,7 @@
 // call has a call about a run, a copy or a hold go wrong: refused, late, or its answer late
 // or lost.
 func (t *trouble) call(w http.ResponseWriter, r *http.Request, own http.Handler) {
-	how := t.draw(TroubleCalls, 8)
+	how := t.draw(DisturbCalls, 8)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -80,7 +80,7 @@
 	if how >= 0 && how < len(callTroubles) {
 		t.count(callTroubles[how])
 	}
-	late := time.Duration(max(t.draw(TroubleCalls, int(lateBy)), 0))
+	late := time.Duration(max(t.draw(DisturbCalls, int(lateBy)), 0))
 	switch how {
 	case 0:
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/soak/upgrade.go
+++ b/soak/upgrade.go
@@ -53,7 +53,7 @@
 
 // wantedBuild is the build that a step brings a process to.
 func wantedBuild(k Kind) build {
-	if k == GoBack {
+	if k == Downgrade {
 		return production
 	}
 	return tree
@@ -132,13 +132,13 @@
 // hit has a kill come in the middle of a step if one is drawn. What it returns waits for the
 // kill, and starts the process again if the new one was killed.
 func (f *faults) hit(step Step, p *process, kind Kind) func(context.Context) {
-	if step.Hit == 0 {
+	if step.KillAfter == 0 {
 		return func(context.Context) {}
 	}
 	killed := 0
 	over := func() {}
 	done := make(chan struct{})
-	t := time.AfterFunc(step.Hit, func() {
+	t := time.AfterFunc(step.KillAfter, func() {
 		defer close(done)
 		over = f.begin(Step{At: f.rec.now(), Kind: kind, Process: p.name}, p.name)
 		killed = p.kill()
--- a/soak/upgrade_plan.go
+++ b/soak/upgrade_plan.go
@@ -18,7 +18,7 @@
 
 // Orders are the orders in which processes are replaced. A run has one zone, in which zone by
 // zone is at random.
-var Orders = []string{gatewaysFirst, controlFirst, leaderFirst, leaderLast, atRandom}
+var UpgradeOrders = []string{gatewaysFirst, controlFirst, leaderFirst, leaderLast, atRandom}
 
 // Paths that an upgrade takes.
 const (
@@ -32,7 +32,7 @@
 )
 
 // Paths are the paths that an upgrade takes.
-var Paths = []string{wholePath, halfPath, backPath, againPath}
+var UpgradePaths = []string{wholePath, halfPath, backPath, againPath}
 
 // Shares of what befalls the replacing of a process.
 const (
@@ -44,8 +44,8 @@
 // with the seeds, so that any row of twenty has each pair of them.
 func NewUpgrade(seed uint64, shape Shape) (order, path string, steps []Step) {
 	r := rand.New(rand.NewPCG(seed, 7))
-	order = Orders[seed%uint64(len(Orders))]
-	path = Paths[seed/uint64(len(Orders))%uint64(len(Paths))]
+	order = UpgradeOrders[seed%uint64(len(UpgradeOrders))]
+	path = UpgradePaths[seed/uint64(len(UpgradeOrders))%uint64(len(UpgradePaths))]
 	d := upgradeDraw{rng: r, shape: shape, order: order}
 	all := d.processes()
 	part := all[:1+r.IntN(len(all)-1)]
@@ -57,11 +57,11 @@
 	case backPath:
 		part = all[:1+r.IntN(len(all))]
 		d.leg(Upgrade, part)
-		d.leg(GoBack, d.shuffled(part))
+		d.leg(Downgrade, d.shuffled(part))
 	case againPath:
 		part = all[:1+r.IntN(len(all)/2)]
 		d.leg(Upgrade, part)
-		d.leg(GoBack, d.shuffled(part))
+		d.leg(Downgrade, d.shuffled(part))
 		d.leg(Upgrade, all)
 	}
 	return order, path, d.steps
@@ -129,7 +129,7 @@
 			s.Empty = d.rng.Float64() < emptyShare
 		}
 		if d.rng.Float64() < hitShare {
-			s.Hit = time.Millisecond + time.Duration(d.rng.Float64()*float64(hitWithin(isGateway)))
+			s.KillAfter = time.Millisecond + time.Duration(d.rng.Float64()*float64(hitWithin(isGateway)))
 		}
 		pause = 0
 		d.steps = append(d.steps, s)
