--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func kinds(names []string) []soak.Kind {
+func kindsOf(names []string) []soak.Kind {
 	out := make([]soak.Kind, 0, len(names))
 	for _, n := range names {
 		out = append(out, soak.Kind(n))
@@ -114,7 +114,7 @@
 			fmt.Println("   upgrade:", soak.SummarizeUpgrade(h))
 		}
 		if o.Paired {
-			more, err := pair(ctx, o, shape, h)
+			more, err := playPaired(ctx, o, shape, h)
 			if err != nil {
 				return err
 			}
@@ -136,18 +136,18 @@
 // pair plays the seed of a run once more without an upgrade, and prints the share of served
 // requests of both beside each other, in the time that the upgrade took and in all. It
 // returns one if the second run breaks a rule.
-func pair(ctx context.Context, o options, shape soak.Shape, upgraded *soak.History) (broken int, err error) {
+func playPaired(ctx context.Context, o options, shape soak.Shape, upgraded *soak.History) (broken int, err error) {
 	h, violations, err := play(ctx, o, shape, upgraded.Seed, true)
 	if err != nil {
 		return 0, err
 	}
 	u := soak.SummarizeUpgrade(upgraded)
 	during, n := soak.ServedShare(upgraded, u.From, u.To)
-	duringStay, nStay := soak.ServedShare(h, u.From, u.To)
+	duringWithout, nWithout := soak.ServedShare(h, u.From, u.To)
 	all, _ := soak.ServedShare(upgraded, 0, h.Length)
-	allStay, _ := soak.ServedShare(h, 0, h.Length)
+	allWithout, _ := soak.ServedShare(h, 0, h.Length)
 	fmt.Printf("   without:  %s\n", soak.SummarizeUpgrade(h))
-	fmt.Printf("   served:   %.4f of %d during the upgrade, %.4f of %d without it; %.4f in all, %.4f without it\n", during, n, duringStay, nStay, all, allStay)
+	fmt.Printf("   served:   %.4f of %d during the upgrade, %.4f of %d without it; %.4f in all, %.4f without it\n", during, n, duringWithout, nWithout, all, allWithout)
 	for _, v := range violations {
 		fmt.Println("   broken without an upgrade:", v)
 	}
@@ -156,7 +156,7 @@
 
 // play plays one seed, and keeps what was seen if a rule was broken. If stay is set nothing
 // is replaced.
-func play(ctx context.Context, o options, shape soak.Shape, seed uint64, stay bool) (*soak.History, []soak.Violation, error) {
+func play(ctx context.Context, o options, shape soak.Shape, seed uint64, noUpgrade bool) (*soak.History, []soak.Violation, error) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		return nil, nil, err
@@ -166,14 +166,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	h, err := soak.Run(ctx, soak.Options{Binary: binary, Dir: dir, Seed: seed, Length: o.Length, Shape: shape, PlainTexts: o.PlainTexts, Production: o.Production, NoUpgrade: stay, PlannedOnly: o.Calm, Without: kinds(o.Without)})
+	h, err := soak.Run(ctx, soak.Options{Binary: binary, Dir: dir, Seed: seed, Length: o.Length, Shape: shape, PlainTexts: o.PlainTexts, Production: o.Production, NoUpgrade: noUpgrade, PlannedOnly: o.Calm, Without: kindsOf(o.Without)})
 	if err != nil {
 		return nil, nil, err
 	}
 	violations := soak.Check(h)
 	if len(violations) > 0 || o.KeepAll {
 		name := fmt.Sprint("seed-", seed)
-		if stay {
+		if noUpgrade {
 			name += "-without"
 		}
 		if err := soak.SaveRun(filepath.Join(o.Keep, name), dir, h, violations); err != nil {
--- a/soak/check.go
+++ b/soak/check.go
@@ -14,19 +14,19 @@
 	// drainBound is how long after its report a leaving server may get new work.
 	drainBound = 2500 * time.Millisecond
 	// goneBound is how long work may go on for a caller that has left.
-	goneBound = 1500 * time.Millisecond
+	disconnectBound = 1500 * time.Millisecond
 	// forceBound is how long after its acknowledgement a table may not be in
 	// force at a gateway that is in touch.
-	forceBound = 2500 * time.Millisecond
+	inForceBound = 2500 * time.Millisecond
 	// touchTime is how long a process must have been undisturbed to be held to
 	// a bound of time.
-	touchTime = 4 * time.Second
+	undisturbedTime = 4 * time.Second
 	// crossTime is how long an engine's answer and the end of its connection may
 	// be on their way.
-	crossTime = 20 * time.Millisecond
+	crossingTime = 20 * time.Millisecond
 	// overlap is how long a run may go on at an engine after it went on at the
 	// next one.
-	overlap = 400 * time.Millisecond
+	maxOverlap = 400 * time.Millisecond
 	// budgetWindow, budgetRatio and budgetSlack are the retry budget of the
 	// settings that a run uses.
 	budgetWindow = 10 * time.Second
@@ -59,14 +59,14 @@
 	rule  string
 	check func(h *History) []string
 }{
-	{"whole and own answer", checkWhole},
+	{"whole and own answer", checkComplete},
 	{"each event once and in order over all tries", checkEvents},
-	{"a run goes on from its own memory", checkMemory},
-	{"at most once", checkOnce},
+	{"a run goes on from its own memory", checkRunMemory},
+	{"at most once", checkAtMostOnce},
 	{"a run is at one engine at a time", checkOneEngine},
 	{"not run is true", checkNotRun},
-	{"nothing held for a caller gone", checkGone},
-	{"what is held for callers is bounded", checkHeld},
+	{"nothing held for a caller gone", checkDisconnected},
+	{"what is held for callers is bounded", checkHeldBytes},
 	{"no cold server gets more than it bears", checkCold},
 	{"no new work for a leaving server", checkDrain},
 	{"no new work for an evacuated zone", checkEvacuations},
@@ -80,30 +80,30 @@
 	{"limits are kept", checkLimits},
 	{"no server gets more than it names", checkServerLimits},
 	{"a server that asks for a pause is left alone", checkPauses},
-	{"no request for a server that says that it leaves", checkSaidLeaving},
+	{"no request for a server that says that it leaves", checkReportedLeaving},
 	{"reports that can't be read are not used", checkBadReports},
 	{"a content that ends servers is left alone", checkDeadly},
 	{"links between builds are not refused", checkRefusals},
-	{"each gateway in touch has a table all the time", checkTableHeld},
+	{"each gateway in touch has a table all the time", checkTableAvailable},
 	{"there is a leader", checkLeader},
-	{"no process ends by itself", checkExits},
+	{"no process ends by itself", checkUnexpectedExits},
 }
 
-func checkWhole(h *History) []string {
+func checkComplete(h *History) []string {
 	var out []string
 	for _, q := range h.Requests {
 		if q.Status != http.StatusOK || q.LeftAt > 0 || q.Kind == Desk { // for Desk see checkEvents
 			continue
 		}
-		stream, whole := q.Kind == Review, ""
+		stream, complete := q.Kind == Review, ""
 		if stream {
-			whole = streamFrom(q.Content, 0)
+			complete = streamAfter(q.Content, 0)
 		}
 		switch {
-		case stream && !strings.HasPrefix(whole, q.Body):
+		case stream && !strings.HasPrefix(complete, q.Body):
 			out = append(out, fmt.Sprintf("%s got other events: %.80q", q.ID, q.Body))
-		case stream && !q.Cut && q.Body != whole:
-			out = append(out, fmt.Sprintf("%s got %d bytes of %d that look whole", q.ID, len(q.Body), len(whole)))
+		case stream && !q.Cut && q.Body != complete:
+			out = append(out, fmt.Sprintf("%s got %d bytes of %d that look whole", q.ID, len(q.Body), len(complete)))
 		case !stream && !q.Cut && !strings.HasPrefix(q.Body, "answer to "+q.ID+" by "):
 			out = append(out, fmt.Sprintf("%s got %.80q", q.ID, q.Body))
 		}
@@ -113,7 +113,7 @@
 
 // runs returns the number of times that each request was worked on. A run that
 // goes on at another engine stays one.
-func runs(h *History) map[string]int {
+func countRuns(h *History) map[string]int {
 	out := map[string]int{}
 	for _, a := range h.Arrivals {
 		if a.Ran && !a.Continues {
@@ -123,9 +123,9 @@
 	return out
 }
 
-func checkOnce(h *History) []string {
+func checkAtMostOnce(h *History) []string {
 	var out []string
-	n := runs(h)
+	n := countRuns(h)
 	for _, q := range h.Requests {
 		if (q.Kind == Checkout || q.Kind == Review) && n[q.ID] > 1 {
 			out = append(out, fmt.Sprintf("%s (%s) ran %d times", q.ID, q.Kind, n[q.ID]))
@@ -146,7 +146,7 @@
 			if a.ID != next.ID || !a.Ran || a.At >= next.At {
 				continue
 			}
-			if a.Ended == 0 || a.Ended > next.At+overlap {
+			if a.Ended == 0 || a.Ended > next.At+maxOverlap {
 				out = append(out, fmt.Sprintf("%s went on at %s at %v, %s worked until %v", a.ID, next.Server, next.At, a.Server, a.Ended))
 			}
 		}
@@ -155,38 +155,38 @@
 }
 
 // promises are the answers that say that a request did not run.
-var promises = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+var notRunStatuses = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
 func checkNotRun(h *History) []string {
 	var out []string
-	n := runs(h)
+	n := countRuns(h)
 	for _, q := range h.Requests {
-		if slices.Contains(promises, q.Status) && n[q.ID] > 0 {
+		if slices.Contains(notRunStatuses, q.Status) && n[q.ID] > 0 {
 			out = append(out, fmt.Sprintf("%s (%s) got %d and ran", q.ID, q.Kind, q.Status))
 		}
 	}
 	return out
 }
 
-func checkGone(h *History) []string {
+func checkDisconnected(h *History) []string {
 	var out []string
-	left := map[string]Request{}
+	disconnected := map[string]Request{}
 	for _, q := range h.Requests {
 		if q.LeftAt > 0 {
-			left[q.ID] = q
+			disconnected[q.ID] = q
 		}
 	}
 	for _, a := range h.Arrivals {
-		q, ok := left[a.ID]
-		if !ok || !a.Ran || h.disturbed(gatewayName(q.Gateway), q.LeftAt, touchTime) || h.disturbed(a.Server, q.LeftAt, touchTime) {
+		q, ok := disconnected[a.ID]
+		if !ok || !a.Ran || h.disturbed(gatewayName(q.Gateway), q.LeftAt, undisturbedTime) || h.disturbed(a.Server, q.LeftAt, undisturbedTime) {
 			continue
 		}
-		if a.Ended == 0 || a.Ended > q.LeftAt+goneBound {
+		if a.Ended == 0 || a.Ended > q.LeftAt+disconnectBound {
 			out = append(out, fmt.Sprintf("%s left at %v, %s worked until %v", q.ID, q.LeftAt, a.Server, a.Ended))
 		}
 	}
 	for _, kv := range h.HeldKV {
-		if q, ok := left[kv.Request]; ok && crosses(q.LeftAt, kv.MadeAt) {
+		if q, ok := disconnected[kv.Request]; ok && crossesDisconnect(q.LeftAt, kv.MadeAt) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("the KV cache of %s, made at %v, after the end", kv.Request, kv.MadeAt))
@@ -201,15 +201,15 @@
 // gateway ends the connection before it has read the name of the KV cache, which
 // it would need to free it, and the engine may have made it already. Such a one
 // lapses by itself.
-func crosses(left, made time.Duration) bool {
-	return made-left < crossTime && left-made < crossTime
+func crossesDisconnect(left, made time.Duration) bool {
+	return made-left < crossingTime && left-made < crossingTime
 }
 
 // disturbed tells whether a process, server or its link was disturbed in the
 // time before a moment, or is about to be.
 func (h *History) disturbed(process string, at, before time.Duration) bool {
 	for _, o := range h.Outages {
-		if o.Process == process && o.From <= at+goneBound && at-before <= o.To {
+		if o.Process == process && o.From <= at+disconnectBound && at-before <= o.To {
 			return true
 		}
 	}
@@ -223,7 +223,7 @@
 			if a.Server != d.Server || a.ID == "" || a.At <= d.At+drainBound {
 				continue
 			}
-			if g := h.gatewayOf(a.ID); g != "" && h.disturbed(g, a.At, touchTime) {
+			if g := h.gatewayOf(a.ID); g != "" && h.disturbed(g, a.At, undisturbedTime) {
 				continue
 			}
 			out = append(out, fmt.Sprintf("%s reached %s %v after its report", a.ID, d.Server, a.At-d.At))
@@ -270,9 +270,9 @@
 	var out []string
 	for service, list := range extra {
 		for i, from := range list {
-			n := within(list[i:], from, from+budgetWindow)
-			asked := max(within(requests[service], from, from+budgetWindow), within(requests[service], from-budgetWindow, from))
-			if allowed := budgetRatio*float64(asked) + budgetSlack; float64(n) > allowed {
+			n := countWithin(list[i:], from, from+budgetWindow)
+			callerRequests := max(countWithin(requests[service], from, from+budgetWindow), countWithin(requests[service], from-budgetWindow, from))
+			if allowed := budgetRatio*float64(callerRequests) + budgetSlack; float64(n) > allowed {
 				out = append(out, fmt.Sprintf("%s got %d further arrivals from %v on, %.0f are allowed", service, n, from, allowed))
 				break
 			}
@@ -281,7 +281,7 @@
 	return out
 }
 
-func within(list []time.Duration, from, to time.Duration) int {
+func countWithin(list []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, t := range list {
 		if t >= from && t < to {
@@ -312,4 +312,4 @@
 	return out
 }
 
-func checkExits(h *History) []string { return h.Exits }
+func checkUnexpectedExits(h *History) []string { return h.Exits }
--- a/soak/check_bad_reports.go
+++ b/soak/check_bad_reports.go
@@ -21,10 +21,10 @@
 // Bounds of a content that ends servers.
 const (
 	// deadlyServers is the number of servers that it may end before it is known.
-	deadlyServers = 3
+	maxDeadlyServers = 3
 	// deadlyAfter is the number of times that it may reach a server later than touchTime
 	// after that.
-	deadlyAfter = 3
+	maxDeadlyLater = 3
 )
 
 // checkDeadly wants a content that ends servers to be left alone once three have ended.
@@ -36,17 +36,17 @@
 		}
 	}
 	slices.Sort(ran)
-	if len(ran) <= deadlyServers {
+	if len(ran) <= maxDeadlyServers {
 		return nil
 	}
-	after := 0
-	for _, at := range ran[deadlyServers:] {
-		if at > ran[deadlyServers-1]+touchTime {
-			after++
+	later := 0
+	for _, at := range ran[maxDeadlyServers:] {
+		if at > ran[maxDeadlyServers-1]+undisturbedTime {
+			later++
 		}
 	}
-	if after <= deadlyAfter {
+	if later <= maxDeadlyLater {
 		return nil
 	}
-	return []string{fmt.Sprintf("it ended %d servers, %d of them later than %v after the third", len(ran), after, touchTime)}
+	return []string{fmt.Sprintf("it ended %d servers, %d of them later than %v after the third", len(ran), later, undisturbedTime)}
 }
--- a/soak/check_keys.go
+++ b/soak/check_keys.go
@@ -19,18 +19,18 @@
 // to be refused for its key if, and only if, no table has held that.
 func checkKeys(h *History) []string {
 	var out []string
-	asked := map[string]string{}
+	organisations := map[string]string{}
 	for _, q := range h.Requests {
-		asked[q.ID] = q.Organisation
-		if (q.Status == http.StatusUnauthorized) && q.Organisation != unknown {
+		organisations[q.ID] = q.Organisation
+		if (q.Status == http.StatusUnauthorized) && q.Organisation != unknownOrganisation {
 			out = append(out, fmt.Sprintf("%s of %s was refused for its key", q.ID, q.Organisation))
 		}
-		if q.Status == http.StatusOK && q.Organisation == unknown {
+		if q.Status == http.StatusOK && q.Organisation == unknownOrganisation {
 			out = append(out, fmt.Sprintf("%s has no key and got an answer", q.ID))
 		}
 	}
 	for _, a := range h.Arrivals {
-		organisation, ok := asked[a.ID]
+		organisation, ok := organisations[a.ID]
 		if ok && a.Header.Get(headers.Organisation) != organisation {
 			out = append(out, fmt.Sprintf("%s of %s came to %s as one of %q", a.ID, organisation, a.Server, a.Header.Get(headers.Organisation)))
 		}
@@ -57,7 +57,7 @@
 		}
 	}
 	slices.Sort(ran)
-	most := (hotRate*quotaWindow.Seconds()+hotRate)*(1+quotaOvershoot) + quotaSlack
+	maxTokens := (hotRate*quotaWindow.Seconds()+hotRate)*(1+quotaOvershoot) + quotaSlack
 	for i, from := range ran {
 		n := 0
 		for _, at := range ran[i:] {
@@ -65,8 +65,8 @@
 				n++
 			}
 		}
-		if used := n * requestTokens; float64(used) > most {
-			return []string{fmt.Sprintf("%d tokens were used in the window from %v, %.0f are allowed", used, from, most)}
+		if used := n * requestTokens; float64(used) > maxTokens {
+			return []string{fmt.Sprintf("%d tokens were used in the window from %v, %.0f are allowed", used, from, maxTokens)}
 		}
 	}
 	return nil
--- a/soak/check_stop.go
+++ b/soak/check_planned_stop.go
@@ -11,26 +11,26 @@
 func checkPlannedStop(h *History) []string {
 	var out []string
 	for _, c := range h.cuts() {
-		if !c.excused {
+		if !c.duringFault {
 			out = append(out, fmt.Sprintf("%s (%s) sent at %v was cut at %v, %s was told to stop at %v (%s)",
-				c.request.ID, c.request.Kind, c.request.Sent, c.request.Ended, c.by.Process, c.by.From, c.by.Kind))
+				c.request.ID, c.request.Kind, c.request.Sent, c.request.Ended, c.stop.Process, c.stop.From, c.stop.Kind))
 		}
 	}
 	return out
 }
 
 // cut is a request that was cut beside a planned stop.
-type cut struct {
+type cutRequest struct {
 	request Request
-	by      Outage
+	stop    Outage
 	// excused tells that a fault came beside.
-	excused bool
+	duringFault bool
 }
 
 // cuts returns the requests that had reached a server and were cut beside a planned stop.
 // One that crosses the close of its connection is sent elsewhere.
-func (h *History) cuts() []cut {
-	var out []cut
+func (h *History) cuts() []cutRequest {
+	var out []cutRequest
 	reached := map[string]bool{}
 	for _, a := range h.Arrivals {
 		reached[a.ID] = true
@@ -41,23 +41,23 @@
 			continue
 		}
 		// Any gateway's requests may depend on control.
-		any := strings.HasPrefix(o.Process, controlPrefix)
+		allGateways := strings.HasPrefix(o.Process, controlPrefix)
 		for _, q := range h.Requests {
-			if !any && gatewayName(q.Gateway) != o.Process || q.Ended < o.From || q.Sent > o.To || !q.Cut || q.Unconnected || q.LeftAt > 0 {
+			if !allGateways && gatewayName(q.Gateway) != o.Process || q.Ended < o.From || q.Sent > o.To || !q.Cut || q.Unconnected || q.LeftAt > 0 {
 				continue
 			}
 			if !reached[q.ID] || seen[q.ID] {
 				continue
 			}
 			seen[q.ID] = true
-			out = append(out, cut{q, o, h.unplanned(q.Sent-touchTime, q.Ended+time.Second)})
+			out = append(out, cutRequest{q, o, h.faultBetween(q.Sent-undisturbedTime, q.Ended+time.Second)})
 		}
 	}
 	return out
 }
 
 // unplanned tells whether a fault came in a span of time.
-func (h *History) unplanned(from, to time.Duration) bool {
+func (h *History) faultBetween(from, to time.Duration) bool {
 	for _, o := range h.Outages {
 		if !o.Kind.Planned() && o.From <= to && o.To >= from {
 			return true
--- a/soak/check_tables.go
+++ b/soak/check_tables.go
@@ -29,7 +29,7 @@
 				shown[key] = p
 			}
 		}
-		if p.Status == http.StatusNotFound && h.mustShow(p) && !h.disturbed(gatewayName(p.Gateway), p.Sent, touchTime) && !h.controlDisturbed(p.Sent) {
+		if p.Status == http.StatusNotFound && h.mustShow(p) && !h.disturbed(gatewayName(p.Gateway), p.Sent, undisturbedTime) && !h.controlDisturbed(p.Sent) {
 			out = append(out, fmt.Sprintf("gateway %d did not show table %d at %v", p.Gateway, p.Version, p.Sent))
 		}
 	}
@@ -44,7 +44,7 @@
 		if put.Version > p.Version && put.Valid && put.Sent < p.Ended {
 			return false
 		}
-		if put.Version == p.Version && put.Status == http.StatusOK && put.Ended+forceBound < p.Sent {
+		if put.Version == p.Version && put.Status == http.StatusOK && put.Ended+inForceBound < p.Sent {
 			acknowledged = true
 		}
 	}
@@ -55,7 +55,7 @@
 // replica is replaced in order excuses nothing.
 func (h *History) controlDisturbed(at time.Duration) bool {
 	for _, o := range h.Outages {
-		if !o.Kind.Replaces() && strings.HasPrefix(o.Process, controlPrefix) && o.From <= at+goneBound && at-touchTime <= o.To {
+		if !o.Kind.Replaces() && strings.HasPrefix(o.Process, controlPrefix) && o.From <= at+disconnectBound && at-undisturbedTime <= o.To {
 			return true
 		}
 	}
@@ -105,18 +105,18 @@
 	}
 	for i, r := range h.Reads {
 		if r.Status == http.StatusOK {
-			ops = append(ops, porcupine.Operation{ClientId: len(h.Puts) + i, Input: tableInput{}, Output: r.Version, Call: int64(r.Sent - forceBound), Return: int64(r.Ended)})
+			ops = append(ops, porcupine.Operation{ClientId: len(h.Puts) + i, Input: tableInput{}, Output: r.Version, Call: int64(r.Sent - inForceBound), Return: int64(r.Ended)})
 		}
 	}
 	if !porcupine.CheckOperations(tableModel, ops) {
 		return []string{fmt.Sprintf("%d changes and reads are not those of one table", len(ops))}
 	}
-	return checkReadBack(h)
+	return checkFinalRead(h)
 }
 
 // checkReadBack wants the newest acknowledged table read after the end of all
 // faults.
-func checkReadBack(h *History) []string {
+func checkFinalRead(h *History) []string {
 	newest, last := 0, -1
 	for _, p := range h.Puts {
 		if p.Valid && p.Status == http.StatusOK {
--- a/soak/check_upgrade.go
+++ b/soak/check_upgrade.go
@@ -9,7 +9,7 @@
 
 // leaderBound is how long control may be without a leader out of faults: the time in which
 // settings have to be in force everywhere, which none can be without a leader.
-const leaderBound = 6 * time.Second
+const noLeaderBound = 6 * time.Second
 
 // checkRefusals wants no process to tell of a link that was refused.
 func checkRefusals(h *History) []string {
@@ -22,14 +22,14 @@
 
 // checkTableHeld wants a gateway to have a table within the time in which one has to be in
 // force, and never to be without one after that.
-func checkTableHeld(h *History) []string {
+func checkTableAvailable(h *History) []string {
 	var out []string
 	for _, g := range h.NoTable {
-		switch calm := h.calmest(g.From, g.To, g.Process, controlPrefix); {
+		switch undisturbed := h.longestUndisturbed(g.From, g.To, g.Process, controlPrefix); {
 		case !g.First:
 			out = append(out, fmt.Sprintf("%s lost its table at %v for %v", g.Process, g.From, g.To-g.From))
-		case calm > forceBound:
-			out = append(out, fmt.Sprintf("%s, start %d, had none from %v to %v, for %v of that without a fault", g.Process, g.Incarnation, g.From, g.To, calm))
+		case undisturbed > inForceBound:
+			out = append(out, fmt.Sprintf("%s, start %d, had none from %v to %v, for %v of that without a fault", g.Process, g.Incarnation, g.From, g.To, undisturbed))
 		}
 	}
 	return out
@@ -39,8 +39,8 @@
 func checkLeader(h *History) []string {
 	var out []string
 	for _, g := range h.NoLeader {
-		if calm := h.calmest(g.From, g.To, controlPrefix); calm > leaderBound {
-			out = append(out, fmt.Sprintf("none from %v to %v, for %v of that without a fault", g.From, g.To, calm))
+		if undisturbed := h.longestUndisturbed(g.From, g.To, controlPrefix); undisturbed > noLeaderBound {
+			out = append(out, fmt.Sprintf("none from %v to %v, for %v of that without a fault", g.From, g.To, undisturbed))
 		}
 	}
 	return out
@@ -48,7 +48,7 @@
 
 // calmest returns the longest part of a span in which no fault disturbed any process whose
 // name begins with one of some texts; a fault disturbs for touchTime longer than it lasts.
-func (h *History) calmest(from, to time.Duration, names ...string) time.Duration {
+func (h *History) longestUndisturbed(from, to time.Duration, names ...string) time.Duration {
 	var faults []Outage
 	for _, o := range h.Outages {
 		if !o.Kind.Planned() && slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(o.Process, name) }) {
@@ -59,7 +59,7 @@
 	longest := time.Duration(0)
 	for _, o := range faults {
 		longest = max(longest, min(o.From, to)-from)
-		from = max(from, o.To+touchTime)
+		from = max(from, o.To+undisturbedTime)
 	}
 	return max(longest, to-from)
 }
--- a/soak/site.go
+++ b/soak/cluster.go
@@ -61,60 +61,60 @@
 	// zone is its availability zone.
 	zone string
 	// life is held by the step of a plan that ends and starts the server.
-	life sync.Mutex
+	lifeMu sync.Mutex
 
-	mu      sync.Mutex
-	backend *standin.Backend
-	proxy   *proxy
-	trouble *trouble
-	leaving bool
+	mu        sync.Mutex
+	backend   *standin.Backend
+	proxy     *proxy
+	disturber *disturber
+	leaving   bool
 	// born is when its present start was, in Unix milliseconds.
 	born int64
 	// coldUntil is when it is warm.
 	coldUntil time.Time
 }
 
-func (s *server) now() (*standin.Backend, *proxy) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.backend, s.proxy
+func (srv *server) current() (*standin.Backend, *proxy) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return srv.backend, srv.proxy
 }
 
 // site is a deployment: real processes of the system, stand-in servers, and what
 // was seen of them.
-type site struct {
+type cluster struct {
 	rec      *recorder
 	shape    Shape
 	dir      string
 	binaries [2]string
 	// first is the build that all processes start on.
-	first     build
-	processes map[string]*process
+	initialBuild build
+	processes    map[string]*process
 	// front, ready and api are the addresses of callers, readiness and control.
-	front, ready, api []string
-	group             *standin.BackendGroup
-	servers           []*server
-	past              []*standin.Backend
-	pastMu            sync.Mutex
-	zoneOf            map[string]string // of each start of a server, under pastMu
-	incarnations      atomic.Int64
-	sequence          atomic.Int64
-	client            *http.Client
+	callerAddresses, readinessAddresses, apiAddresses []string
+	group                                             *standin.BackendGroup
+	servers                                           []*server
+	backends                                          []*standin.Backend
+	backendsMu                                        sync.Mutex
+	zones                                             map[string]string // of each start of a server, under pastMu
+	incarnations                                      atomic.Int64
+	sequence                                          atomic.Int64
+	client                                            *http.Client
 	// wg are the servers that start again, closing ends that.
 	wg      sync.WaitGroup
 	closing atomic.Bool
 	// started tells that a run has begun in which servers that start again are cold.
-	started atomic.Bool
+	marksCold atomic.Bool
 }
 
 // host returns an address of the loopback range for the n-th process, so that
 // the ports of all processes can be alike.
-func host(n int) string { return fmt.Sprintf("127.0.1.%d", n+1) }
+func loopbackHost(n int) string { return fmt.Sprintf("127.0.1.%d", n+1) }
 
 // freePort returns a port that is free at each of some hosts.
 func freePort(hosts int) (string, error) {
 	for range 100 {
-		ln, err := net.Listen("tcp", host(0)+":0")
+		ln, err := net.Listen("tcp", loopbackHost(0)+":0")
 		if err != nil {
 			return "", err
 		}
@@ -122,7 +122,7 @@
 		_ = ln.Close()
 		free := true
 		for n := range hosts {
-			other, err := net.Listen("tcp", net.JoinHostPort(host(n), port))
+			other, err := net.Listen("tcp", net.JoinHostPort(loopbackHost(n), port))
 			if err != nil {
 				free = false
 				break
@@ -137,14 +137,14 @@
 }
 
 // newSite writes the settings of all processes and starts everything.
-func newSite(o Options, rec *recorder) (*site, error) {
+func newCluster(o Options, rec *recorder) (*cluster, error) {
 	shape := o.Shape
-	s := &site{
-		rec: rec, shape: shape, dir: o.Dir, binaries: [2]string{o.Production, o.Binary}, first: tree, processes: map[string]*process{}, group: standin.NewBackendGroup(), zoneOf: map[string]string{},
+	cl := &cluster{
+		rec: rec, shape: shape, dir: o.Dir, binaries: [2]string{o.Production, o.Binary}, initialBuild: treeBuild, processes: map[string]*process{}, group: standin.NewBackendGroup(), zones: map[string]string{},
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	if o.Production != "" {
-		s.first = production
+		cl.initialBuild = productionBuild
 	}
 	ports := make([]string, 5)
 	for i := range ports {
@@ -157,84 +157,84 @@
 	links, api, callers, ready, operators := ports[0], ports[1], ports[2], ports[3], ports[4]
 	var seeds []string
 	for n := range shape.Controls {
-		s.api = append(s.api, net.JoinHostPort(host(n), api))
+		cl.apiAddresses = append(cl.apiAddresses, net.JoinHostPort(loopbackHost(n), api))
 		if n < 3 {
-			seeds = append(seeds, fmt.Sprintf("%q", s.api[n]))
+			seeds = append(seeds, fmt.Sprintf("%q", cl.apiAddresses[n]))
 		}
 	}
 	list := strings.Join(seeds, ", ")
 	for n := range shape.Controls {
 		name := controlName(n)
-		part := fmt.Sprintf("roles: [control]\ndata: %q\ncontrol:\n  links: %q\n  api: %q\n  discovery: {seeds: [%s], found: true, tolerate: %d}\n  engines: {prefill_share: 0.33, order_lease: 3s}\n  "+quotaSettings+"\n",
-			s.data(name), net.JoinHostPort(host(n), links), s.api[n], list, (shape.Controls-1)/2)
-		if err := s.add(name, net.JoinHostPort(host(n), operators), part, treeControl); err != nil {
+		settings := fmt.Sprintf("roles: [control]\ndata: %q\ncontrol:\n  links: %q\n  api: %q\n  discovery: {seeds: [%s], found: true, tolerate: %d}\n  engines: {prefill_share: 0.33, order_lease: 3s}\n  "+quotaSettings+"\n",
+			cl.dataDir(name), net.JoinHostPort(loopbackHost(n), links), cl.apiAddresses[n], list, (shape.Controls-1)/2)
+		if err := cl.addProcess(name, net.JoinHostPort(loopbackHost(n), operators), settings, treeControlSettings); err != nil {
 			return nil, err
 		}
 	}
 	for n := range shape.Gateways {
-		h := host(shape.Controls + n)
-		s.front = append(s.front, net.JoinHostPort(h, callers))
-		s.ready = append(s.ready, net.JoinHostPort(h, ready))
-		part := fmt.Sprintf("roles: [gateway]\ndrain: 8s\nmemory: %dMB\ngateway: {callers: %q, ready: %q, seeds: [%s], links_port: %s, retry: {ratio: %g, slack: %d, window: %s}, "+quotaSettings+"}\n",
-			gatewayMemory, s.front[n], s.ready[n], list, links, budgetRatio, budgetSlack, budgetWindow)
-		if err := s.add(gatewayName(n), net.JoinHostPort(h, operators), part, ""); err != nil {
+		h := loopbackHost(shape.Controls + n)
+		cl.callerAddresses = append(cl.callerAddresses, net.JoinHostPort(h, callers))
+		cl.readinessAddresses = append(cl.readinessAddresses, net.JoinHostPort(h, ready))
+		settings := fmt.Sprintf("roles: [gateway]\ndrain: 8s\nmemory: %dMB\ngateway: {callers: %q, ready: %q, seeds: [%s], links_port: %s, retry: {ratio: %g, slack: %d, window: %s}, "+quotaSettings+"}\n",
+			gatewayMemoryMB, cl.callerAddresses[n], cl.readinessAddresses[n], list, links, budgetRatio, budgetSlack, budgetWindow)
+		if err := cl.addProcess(gatewayName(n), net.JoinHostPort(h, operators), settings, ""); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range s.processes {
+	for _, p := range cl.processes {
 		if err := p.start(); err != nil {
-			s.close()
+			cl.close()
 			return nil, err
 		}
 	}
-	return s, s.startServers()
+	return cl, cl.startServers()
 }
 
-func (s *site) data(name string) string { return filepath.Join(s.dir, name+".data") }
+func (cl *cluster) dataDir(name string) string { return filepath.Join(cl.dir, name+".data") }
 
 // treeControl are settings of control that the production build may not know: the fleet's
 // version rises only when it is asked for, so that going back stays possible.
-var treeControl = "  upgrade: {after: 0s}\n" + coldSettings
+var treeControlSettings = "  upgrade: {after: 0s}\n" + coldSettings
 
 // add makes a process; treePart are settings for the tree's build alone.
-func (s *site) add(name, operators, part, treePart string) error {
-	text := fmt.Sprintf("name: %s\nzone: z\noperators: %q\nlog: {level: info, format: json}\ntokens: {trusted_network: true}\n%s", name, operators, part)
-	p, err := newProcess(s.binaries, s.dir, name, [2]string{text, text + treePart})
+func (cl *cluster) addProcess(name, operators, settings, treeSettings string) error {
+	text := fmt.Sprintf("name: %s\nzone: z\noperators: %q\nlog: {level: info, format: json}\ntokens: {trusted_network: true}\n%s", name, operators, settings)
+	p, err := createProcess(cl.binaries, cl.dir, name, [2]string{text, text + treeSettings})
 	if err != nil {
 		return err
 	}
 	p.operators = operators
-	p.use(s.first)
+	p.setBuild(cl.initialBuild)
 	p.onExit = func(name string, err error) {
-		s.rec.add(func(h *History) { h.Exits = append(h.Exits, fmt.Sprintf("%s: %v", name, err)) })
+		cl.rec.update(func(h *History) { h.Exits = append(h.Exits, fmt.Sprintf("%s: %v", name, err)) })
 	}
-	s.processes[name] = p
+	cl.processes[name] = p
 	return nil
 }
 
-func (s *site) startServers() error {
+func (cl *cluster) startServers() error {
 	start := func(n int, service, role string) error {
 		for i := range n {
 			// Soaks beside this one may get the address of a server that has ended: no name of
 			// theirs is like one of its own.
-			v := &server{service: service, role: role, name: fmt.Sprintf("%s-s%d-%d", service, len(s.servers), os.Getpid()), zone: nearZone}
+			srv := &server{service: service, role: role, name: fmt.Sprintf("%s-s%d-%d", service, len(cl.servers), os.Getpid()), zone: nearZone}
 			if i > 0 && i == n-1 {
-				v.zone = farZone
+				srv.zone = farZone
 			}
-			s.servers = append(s.servers, v)
-			if err := s.raise(v); err != nil {
+			cl.servers = append(cl.servers, srv)
+			if err := cl.startServer(srv); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if err := start(s.shape.Prefills, engineService, "prefill"); err != nil {
+	if err := start(cl.shape.Prefills, engineService, "prefill"); err != nil {
 		return err
 	}
-	if err := start(s.shape.Decodes, engineService, "decode"); err != nil {
+	if err := start(cl.shape.Decodes, engineService, "decode"); err != nil {
 		return err
 	}
-	return start(s.shape.Apps, appService, "")
+	return start(cl.shape.Apps, appService, "")
 }
 
 // Paces of the stand-in servers.
@@ -245,65 +245,65 @@
 )
 
 // raise starts a server again, under its name.
-func (s *site) raise(v *server) error {
-	id := fmt.Sprintf("%s-%d", v.service, s.incarnations.Add(1))
-	b, err := s.group.StartBackend("127.0.0.1:0", id, v.role, headers)
+func (cl *cluster) startServer(srv *server) error {
+	id := fmt.Sprintf("%s-%d", srv.service, cl.incarnations.Add(1))
+	b, err := cl.group.StartBackend("127.0.0.1:0", id, srv.role, headers)
 	if err != nil {
 		return err
 	}
 	b.SetPace(prefillTime, eventTime, streamEvents)
-	b.SetText(textOf)
-	tr := newTrouble(v.name, s.incarnations.Load(), s.rec.count)
-	b.SetAround(tr.around)
-	if v.role == "decode" {
+	b.SetText(eventText)
+	d := newDisturber(srv.name, cl.incarnations.Load(), cl.rec.countTrouble)
+	b.SetAround(d.wrap)
+	if srv.role == "decode" {
 		b.SetSlots(engineSlots)
 	}
-	p, err := newProxy(b.Addr(), s.rec.count)
+	p, err := newProxy(b.Addr(), cl.rec.countTrouble)
 	if err != nil {
 		return err
 	}
-	b.Name = v.name
-	b.SetDeadly(deadlyContent, func() { s.again(v, b) })
-	s.chill(v, b.ID)
-	s.group.Alias(p.addr(), b)
-	s.pastMu.Lock()
-	s.past = append(s.past, b)
-	s.zoneOf[b.ID] = v.zone
-	s.pastMu.Unlock()
-	v.mu.Lock()
-	v.backend, v.proxy, v.trouble, v.leaving = b, p, tr, false
-	v.born = max(time.Now().UnixMilli(), v.born+1)
-	v.mu.Unlock()
+	b.Name = srv.name
+	b.SetDeadly(deadlyContent, func() { cl.restartCrashed(srv, b) })
+	cl.markCold(srv, b.ID)
+	cl.group.Alias(p.addr(), b)
+	cl.backendsMu.Lock()
+	cl.backends = append(cl.backends, b)
+	cl.zones[b.ID] = srv.zone
+	cl.backendsMu.Unlock()
+	srv.mu.Lock()
+	srv.backend, srv.proxy, srv.disturber, srv.leaving = b, p, d, false
+	srv.born = max(time.Now().UnixMilli(), srv.born+1)
+	srv.mu.Unlock()
 	return nil
 }
 
 // crashTime is how long a server that a request has ended is away.
-const crashTime = 500 * time.Millisecond
+const crashRestartDelay = 500 * time.Millisecond
 
 // again starts a server again that a request has ended, unless a step of the plan does.
-func (s *site) again(v *server, ended *standin.Backend) {
-	s.wg.Go(func() {
-		time.Sleep(crashTime)
-		v.life.Lock()
-		defer v.life.Unlock()
-		if now, _ := v.now(); now != ended || s.closing.Load() {
+func (cl *cluster) restartCrashed(srv *server, crashed *standin.Backend) {
+	cl.wg.Go(func() {
+		time.Sleep(crashRestartDelay)
+		srv.lifeMu.Lock()
+		defer srv.lifeMu.Unlock()
+		if now, _ := srv.current(); now != crashed || cl.closing.Load() {
 			return
 		}
-		v.end()
-		_ = s.raise(v)
+		srv.kill()
+		_ = cl.startServer(srv)
 	})
 }
 
 // leave sets whether the server has said that it leaves.
-func (v *server) leave(leaving bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.leaving = leaving
+func (srv *server) setLeaving(leaving bool) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.leaving = leaving
 }
 
 // end ends a server at once.
-func (v *server) end() {
-	b, p := v.now()
+func (srv *server) kill() {
+	b, p := srv.current()
 	p.close()
 	b.Kill()
 }
@@ -311,36 +311,36 @@
 // callTimeout bounds a call to control.
 const callTimeout = time.Second
 
-func (s *site) call(ctx context.Context, method, url, body string) (int, string, error) {
+func (cl *cluster) call(ctx context.Context, method, url, body string) (int, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return standin.Call(ctx, s.client, method, url, body)
+	return standin.Call(ctx, cl.client, method, url, body)
 }
 
 // close ends all that was started.
-func (s *site) close() {
-	s.closing.Store(true)
-	s.wg.Wait()
+func (cl *cluster) close() {
+	cl.closing.Store(true)
+	cl.wg.Wait()
 	var wg sync.WaitGroup
-	for _, p := range s.processes {
+	for _, p := range cl.processes {
 		wg.Go(func() {
 			p.signal(syscall.SIGCONT)
-			p.end(syscall.SIGKILL)
+			p.stop(syscall.SIGKILL)
 		})
 	}
-	for _, v := range s.servers {
-		wg.Go(v.end)
+	for _, srv := range cl.servers {
+		wg.Go(srv.kill)
 	}
 	wg.Wait()
 }
 
 // wipe empties the disk of a process that has ended, and tells it that this is
 // no first start.
-func (s *site) wipe(name string) error {
-	if err := os.RemoveAll(s.data(name)); err != nil {
+func (cl *cluster) wipeDisk(name string) error {
+	if err := os.RemoveAll(cl.dataDir(name)); err != nil {
 		return err
 	}
-	for _, b := range s.processes[name].builds {
+	for _, b := range cl.processes[name].builds {
 		text, err := os.ReadFile(b.settings)
 		if err != nil {
 			return err
--- a/soak/cold.go
+++ b/soak/cold_servers.go
@@ -25,23 +25,23 @@
 }
 
 // chill has a server be cold for a while that has just started again.
-func (s *site) chill(v *server, id string) {
-	if v.service != appService || !s.started.Load() {
+func (cl *cluster) markCold(srv *server, id string) {
+	if srv.service != appService || !cl.marksCold.Load() {
 		return
 	}
 	now := time.Now()
-	v.mu.Lock()
-	v.coldUntil = now.Add(coldTime)
-	v.mu.Unlock()
-	from := now.Sub(s.rec.start)
-	s.rec.add(func(h *History) { h.Cold = append(h.Cold, ColdSpan{Server: id, From: from, To: from + coldTime}) })
+	srv.mu.Lock()
+	srv.coldUntil = now.Add(coldTime)
+	srv.mu.Unlock()
+	from := now.Sub(cl.rec.start)
+	cl.rec.update(func(h *History) { h.Cold = append(h.Cold, ColdSpan{Server: id, From: from, To: from + coldTime}) })
 }
 
 // coldLeft returns for how much longer a server is cold, in milliseconds.
-func (v *server) coldLeft() int64 {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return max(time.Until(v.coldUntil).Milliseconds(), 0)
+func (srv *server) coldRemaining() int64 {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return max(time.Until(srv.coldUntil).Milliseconds(), 0)
 }
 
 // checkCold wants no cold server to get more in any second than it bears, from all gateways
--- a/soak/desk.go
+++ b/soak/desk_caller.go
@@ -17,52 +17,52 @@
 // Callers of streams that may be resumed: they come back with the last event that they have.
 const (
 	// deskTries bounds the tries of a caller, leastTry is the time that one must have left.
-	deskTries = 6
-	leastTry  = 400 * time.Millisecond
+	maxDeskAttempts = 6
+	minAttemptTime  = 400 * time.Millisecond
 	// firstGap and leastGap are how long callers wait for the first event, and for the next
 	// one at least; the most patient wait for spreadGap longer.
-	firstGap  = 2 * time.Second
-	leastGap  = 250 * time.Millisecond
-	spreadGap = 1500 * time.Millisecond
+	firstEventTimeout  = 2 * time.Second
+	minEventTimeout    = 250 * time.Millisecond
+	eventTimeoutSpread = 1500 * time.Millisecond
 	// breakShare is the part of the callers that leave in the middle of a try, which come
 	// back; bigShare is that of those who ask for much, and slowShare that of slow readers.
-	breakShare = 0.3
-	bigShare   = 0.03
-	slowShare  = 0.1
-	slowest    = 150 * time.Millisecond
+	deskDisconnectShare = 0.3
+	bigEventShare       = 0.03
+	slowReaderShare     = 0.1
+	maxReadPause        = 150 * time.Millisecond
 	// smallWindow is the receive buffer of a slow reader.
-	smallWindow = 4 << 10
+	slowReaderBuffer = 4 << 10
 )
 
 // desk is a caller of a stream that may be resumed.
-type desk struct {
-	load     *load
-	rng      *rand.Rand
-	name     string
-	first    Request
-	gap      time.Duration
-	piece    int
-	slow     time.Duration
-	deadline time.Time
+type deskCaller struct {
+	load         *load
+	rng          *rand.Rand
+	name         string
+	first        Request
+	eventTimeout time.Duration
+	maxReadSize  int
+	maxReadPause time.Duration
+	deadline     time.Time
 	// lastID is the last event that the caller has.
 	lastID string
 }
 
 // desk plays a caller with all its tries.
-func (l *load) desk(first Request, seed uint64) {
+func (l *load) runDeskCaller(first Request, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 6))
-	d := &desk{load: l, rng: r, name: first.ID, first: first, deadline: time.Now().Add(deadlines[Desk])}
-	d.gap = leastGap + time.Duration(r.Float64()*float64(spreadGap))
-	d.first.Content = "desk " + first.ID + " " + l.texts
-	d.piece = oddPiece
-	if r.Float64() < slowShare {
-		d.slow = slowest
-	}
-	if r.Float64() < bigShare {
-		d.first.Content, d.piece, d.slow = "desk "+first.ID+" "+bigTexts, bigPiece, 3*d.slow
-	}
-	for try := 1; try <= deskTries && time.Until(d.deadline) > leastTry; try++ {
-		again, pause := d.try(try)
+	d := &deskCaller{load: l, rng: r, name: first.ID, first: first, deadline: time.Now().Add(deadlines[Desk])}
+	d.eventTimeout = minEventTimeout + time.Duration(r.Float64()*float64(eventTimeoutSpread))
+	d.first.Content = "desk " + first.ID + " " + l.textMarker
+	d.maxReadSize = smallEventReadSize
+	if r.Float64() < slowReaderShare {
+		d.maxReadPause = maxReadPause
+	}
+	if r.Float64() < bigEventShare {
+		d.first.Content, d.maxReadSize, d.maxReadPause = "desk "+first.ID+" "+bigTextMarker, bigEventReadSize, 3*d.maxReadPause
+	}
+	for try := 1; try <= maxDeskAttempts && time.Until(d.deadline) > minAttemptTime; try++ {
+		again, pause := d.attempt(try)
 		if !again || pause > 0 && l.ended.Load() {
 			return
 		}
@@ -72,26 +72,26 @@
 
 // try sends one request. It returns whether the caller comes back, and how long it has to
 // wait if it was refused; a caller that was does not come back after the end of the load.
-func (d *desk) try(try int) (again bool, pause time.Duration) {
+func (d *deskCaller) attempt(try int) (again bool, pause time.Duration) {
 	q := d.first
 	q.Caller, q.Try, q.LastID = d.name, try, d.lastID
 	if try > 1 {
 		q.ID = fmt.Sprintf("%s-%d", d.name, try)
-		if q.Gateway = d.gateway(); q.Gateway < 0 {
-			return true, platformNotice / 4
+		if q.Gateway = d.pickGateway(); q.Gateway < 0 {
+			return true, readinessDelay / 4
 		}
 	}
-	left := time.Until(d.deadline)
-	ctx, cancel := context.WithTimeout(context.Background(), left+time.Second)
+	remaining := time.Until(d.deadline)
+	ctx, cancel := context.WithTimeout(context.Background(), remaining+time.Second)
 	defer cancel()
-	resp, err := d.ask(ctx, &q, left)
+	resp, err := d.send(ctx, &q, remaining)
 	retryAfter := ""
 	if err == nil {
 		q.Status, retryAfter = resp.StatusCode, resp.Header.Get("Retry-After")
-		err = d.take(&q, resp, cancel)
+		err = d.readAnswer(&q, resp, cancel)
 		_ = resp.Body.Close()
 	}
-	d.end(&q, err)
+	d.recordAttempt(&q, err)
 	switch {
 	case q.Status == http.StatusOK && err == nil, q.Status >= 400 && q.Status < 500 && q.Status != http.StatusTooManyRequests:
 		return false, 0
@@ -104,9 +104,9 @@
 }
 
 // gateway draws one that takes callers, or returns -1.
-func (d *desk) gateway() int {
+func (d *deskCaller) pickGateway() int {
 	for range 4 {
-		if n := d.rng.IntN(len(d.load.out)); !d.load.out[n].Load() {
+		if n := d.rng.IntN(len(d.load.excluded)); !d.load.excluded[n].Load() {
 			return n
 		}
 	}
@@ -115,22 +115,22 @@
 
 // ask sends a request, on a kept or on a new connection, and gives up if nothing comes for
 // long.
-func (d *desk) ask(ctx context.Context, q *Request, left time.Duration) (*http.Response, error) {
+func (d *deskCaller) send(ctx context.Context, q *Request, remaining time.Duration) (*http.Response, error) {
 	client := d.load.clients[q.Gateway]
-	if q.Try > 1 && d.rng.IntN(2) == 0 || d.slow > 0 {
-		window := 0
-		if d.slow > 0 {
-			window = smallWindow
+	if q.Try > 1 && d.rng.IntN(2) == 0 || d.maxReadPause > 0 {
+		readBuffer := 0
+		if d.maxReadPause > 0 {
+			readBuffer = slowReaderBuffer
 		}
-		client = newConnections(window)
+		client = newUnpooledClient(readBuffer)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	q.Sent = d.load.rec.now()
-	t := time.AfterFunc(firstGap, func() {
-		d.load.rec.add(func(*History) { q.LeftAt = d.load.rec.now() })
+	t := time.AfterFunc(firstEventTimeout, func() {
+		d.load.rec.update(func(*History) { q.LeftAt = d.load.rec.now() })
 		cancel()
 	})
-	req, err := d.load.request(ctx, q, left)
+	req, err := d.load.newRequest(ctx, q, remaining)
 	if err != nil {
 		cancel()
 		return nil, err
@@ -164,14 +164,14 @@
 }
 
 // newConnections returns a client that opens a connection for each request.
-func newConnections(window int) *http.Client {
+func newUnpooledClient(readBuffer int) *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, addr)
-			if tcp, ok := c.(*net.TCPConn); ok && window > 0 {
-				_ = tcp.SetReadBuffer(window)
+			if tcp, ok := c.(*net.TCPConn); ok && readBuffer > 0 {
+				_ = tcp.SetReadBuffer(readBuffer)
 			}
 			return c, err
 		},
@@ -179,43 +179,43 @@
 }
 
 // take reads the events of an answer, until its end or until the caller has had enough.
-func (d *desk) take(q *Request, resp *http.Response, leave context.CancelFunc) error {
+func (d *deskCaller) readAnswer(q *Request, resp *http.Response, cancel context.CancelFunc) error {
 	if resp.StatusCode != http.StatusOK {
 		body, err := readAll(resp.Body)
 		q.Body = body
 		return err
 	}
-	stays := streamEvents + 1
-	if d.rng.Float64() < breakShare {
-		stays = d.rng.IntN(streamEvents)
+	maxEvents := streamEvents + 1
+	if d.rng.Float64() < deskDisconnectShare {
+		maxEvents = d.rng.IntN(streamEvents)
 	}
-	gone := func() { d.load.rec.add(func(*History) { q.LeftAt = d.load.rec.now() }); leave() }
-	patience := time.AfterFunc(firstGap, gone)
-	defer patience.Stop()
-	r := &eventReader{rng: d.rng, now: d.load.rec.now, piece: d.piece, slow: d.slow}
-	r.got = func(e Event) bool {
-		patience.Reset(d.gap + d.slow)
+	disconnect := func() { d.load.rec.update(func(*History) { q.LeftAt = d.load.rec.now() }); cancel() }
+	timeout := time.AfterFunc(firstEventTimeout, disconnect)
+	defer timeout.Stop()
+	r := &eventReader{rng: d.rng, now: d.load.rec.now, maxReadSize: d.maxReadSize, maxReadPause: d.maxReadPause}
+	r.onEvent = func(e Event) bool {
+		timeout.Reset(d.eventTimeout + d.maxReadPause)
 		q.Events = append(q.Events, e)
 		d.lastID = e.ID
-		return len(q.Events) < stays
+		return len(q.Events) < maxEvents
 	}
 	err := r.read(resp.Body)
 	q.Body = string(r.body)
-	if errors.Is(err, errCallerLeft) && patience.Stop() {
-		gone()
+	if errors.Is(err, errCallerLeft) && timeout.Stop() {
+		disconnect()
 	}
 	return err
 }
 
 // end notes a try in the history.
-func (d *desk) end(q *Request, err error) {
-	d.load.rec.add(func(h *History) {
+func (d *deskCaller) recordAttempt(q *Request, err error) {
+	d.load.rec.update(func(h *History) {
 		q.Ended, q.Cut = d.load.rec.now(), err != nil
 		var op *net.OpError
 		q.Unconnected = errors.As(err, &op) && op.Op == "dial"
 		// One that reads slowly may not be through at its deadline, and leaves with its answer
 		// whole on the way.
-		if d.slow > 0 && q.LeftAt == 0 && errors.Is(err, context.DeadlineExceeded) {
+		if d.maxReadPause > 0 && q.LeftAt == 0 && errors.Is(err, context.DeadlineExceeded) {
 			q.LeftAt = q.Ended
 		}
 		h.Requests = append(h.Requests, *q)
@@ -223,8 +223,8 @@
 }
 
 // request makes a request for a caller who still waits for a time.
-func (l *load) request(ctx context.Context, q *Request, left time.Duration) (*http.Request, error) {
-	url := "http://" + l.site.front[q.Gateway] + "/" + string(q.Kind) + "/x"
+func (l *load) newRequest(ctx context.Context, q *Request, remaining time.Duration) (*http.Request, error) {
+	url := "http://" + l.cluster.callerAddresses[q.Gateway] + "/" + string(q.Kind) + "/x"
 	// A reader of its own keeps the standard client from sending again.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(strings.NewReader(q.Content)))
 	if err != nil {
@@ -233,17 +233,17 @@
 	req.ContentLength = int64(len(q.Content))
 	req.Host = "h"
 	req.Header.Set(headers.RequestID, q.ID)
-	req.Header.Set(headers.Deadline, fmt.Sprint(left.Milliseconds()))
+	req.Header.Set(headers.Deadline, fmt.Sprint(remaining.Milliseconds()))
 	req.Header.Set("Authorization", "Bearer key-"+q.Organisation)
 	req.Header.Set(headers.Organisation, "forged")
 	req.Header.Set(headers.Tokens, fmt.Sprintf("%d,%d", promptTokens, requestTokens-promptTokens))
-	req.Header.Set(headers.LengthHint, fmt.Sprint(q.hint()))
+	req.Header.Set(headers.LengthHint, fmt.Sprint(q.lengthHint()))
 	return req, nil
 }
 
 // hint is what a caller believes its answer to have, in tokens: most take it for shorter
 // than it is, so that engines fill.
-func (q *Request) hint() int {
+func (q *Request) lengthHint() int {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, q.ID)
 	return streamEvents * eventTokens * (1 + int(h.Sum32()%4)) / 4
--- a/soak/surplus.go
+++ b/soak/duplicate_answers.go
@@ -7,45 +7,45 @@
 )
 
 // mostAgain bounds an answer that may come again.
-const mostAgain = 16 << 10
+const maxDuplicateBytes = 16 << 10
 
 // answers keeps the last whole answer of a connection, for it to come again late.
-type answers struct {
-	mu    sync.Mutex
-	last  []byte
-	whole bool
+type lastAnswer struct {
+	mu       sync.Mutex
+	data     []byte
+	complete bool
 }
 
 // note takes a part of an answer on its way.
-func (a *answers) note(data []byte) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.whole {
-		a.last, a.whole = a.last[:0], false
+func (la *lastAnswer) write(data []byte) {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	if la.complete {
+		la.data, la.complete = la.data[:0], false
 	}
-	if len(a.last) < mostAgain {
-		a.last = append(a.last, data...)
+	if len(la.data) < maxDuplicateBytes {
+		la.data = append(la.data, data...)
 	}
-	a.whole = wholeAnswer(a.last)
+	la.complete = isCompleteAnswer(la.data)
 }
 
 // again returns the last answer, once, if it is whole: what comes now is the next request.
-func (a *answers) again() []byte {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.whole {
+func (la *lastAnswer) take() []byte {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	if !la.complete {
 		return nil
 	}
-	out := bytes.Clone(a.last)
-	a.last, a.whole = a.last[:0], false
+	out := bytes.Clone(la.data)
+	la.data, la.complete = la.data[:0], false
 	return out
 }
 
 // wholeAnswer tells whether bytes are an answer with its end, as the servers of a run write
 // them.
-func wholeAnswer(data []byte) bool {
+func isCompleteAnswer(data []byte) bool {
 	head, body, ok := bytes.Cut(data, []byte("\r\n\r\n"))
-	if !ok || len(data) >= mostAgain {
+	if !ok || len(data) >= maxDuplicateBytes {
 		return false
 	}
 	if bytes.Contains(head, []byte("Transfer-Encoding: chunked")) {
@@ -56,19 +56,19 @@
 		return false
 	}
 	length, _, _ = bytes.Cut(length, []byte("\r\n"))
-	return numberOf(string(length)) == len(body)
+	return eventNumber(string(length)) == len(body)
 }
 
 // second sets whether answers come again.
-func (p *proxy) second(surplus bool) {
+func (p *proxy) setDuplicate(duplicate bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.surplus = surplus
+	p.duplicate = duplicate
 }
 
 // sendsAgain draws whether an answer comes again now.
-func (p *proxy) sendsAgain() bool {
+func (p *proxy) drawDuplicate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.surplus && rand.IntN(2) == 0
+	return p.duplicate && rand.IntN(2) == 0
 }
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -17,24 +17,24 @@
 // One order at a time: an earlier one that ends the evacuation may be taken late, and would end the
 // next one too.
 func (o *operators) evacuate(ctx context.Context, step Step) {
-	o.evacuating.Lock()
-	defer o.evacuating.Unlock()
-	if !o.order(ctx, "start") {
+	o.evacuationMu.Lock()
+	defer o.evacuationMu.Unlock()
+	if !o.sendOrder(ctx, "start") {
 		return
 	}
 	e := Evacuation{Zone: farZone, Acked: o.rec.now()}
 	sleep(ctx, step.For)
 	e.Finished = o.rec.now()
-	o.order(context.WithoutCancel(ctx), "finish")
-	o.rec.add(func(h *History) { h.Evacuations = append(h.Evacuations, e) })
+	o.sendOrder(context.WithoutCancel(ctx), "finish")
+	o.rec.update(func(h *History) { h.Evacuations = append(h.Evacuations, e) })
 }
 
 // order sends an order about the far zone until a replica takes it, or too many tries were in
 // vain.
-func (o *operators) order(ctx context.Context, what string) bool {
+func (o *operators) sendOrder(ctx context.Context, action string) bool {
 	const tries = 200
 	for try := 0; ctx.Err() == nil && try < tries; try++ {
-		status, _, err := o.site.call(ctx, http.MethodPost, "http://"+o.site.api[try%len(o.site.api)]+"/-/evacuations/"+farZone+"/"+what, "")
+		status, _, err := o.cluster.call(ctx, http.MethodPost, "http://"+o.cluster.apiAddresses[try%len(o.cluster.apiAddresses)]+"/-/evacuations/"+farZone+"/"+action, "")
 		if err == nil && status == http.StatusOK {
 			return true
 		}
--- a/soak/text.go
+++ b/soak/event_text.go
@@ -20,25 +20,25 @@
 const (
 	// oddTexts are texts like those that callers ask for: with colons, with what looks like
 	// fields of events, JSON, several lines, letters of several bytes.
-	oddTexts = "odd"
+	oddTextMarker = "odd"
 	// bigTexts are some kilobytes each.
-	bigTexts = "big"
+	bigTextMarker = "big"
 )
 
 // bigText is the length of a big text.
-const bigText = 12 << 10
+const bigTextBytes = 12 << 10
 
 // textOf is what the n-th event of the answer to a content holds. It differs for any two
 // contents and numbers, so that parts of two runs can't be joined unseen.
-func textOf(content string, n int) string {
+func eventText(content string, n int) string {
 	h := fnv.New32a()
 	fmt.Fprint(h, content, " ", n)
 	tag := h.Sum32()
 	mark := fmt.Sprintf("%08x", tag)
 	switch {
-	case strings.Contains(content, bigTexts):
-		return mark + strings.Repeat(" event", bigText/len(" event")) + fmt.Sprint(" ", n)
-	case !strings.Contains(content, oddTexts):
+	case strings.Contains(content, bigTextMarker):
+		return mark + strings.Repeat(" event", bigTextBytes/len(" event")) + fmt.Sprint(" ", n)
+	case !strings.Contains(content, oddTextMarker):
 		return fmt.Sprintf("event %d %s", n, mark)
 	}
 	other := int(tag>>3)%streamEvents + 1
@@ -59,16 +59,16 @@
 }
 
 // streamFrom is what follows an event of the whole answer to a content.
-func streamFrom(content string, last int) string {
+func streamAfter(content string, last int) string {
 	var b strings.Builder
 	for n := last + 1; n <= streamEvents; n++ {
-		b.WriteString(standin.WriteEvent(n, textOf(content, n)))
+		b.WriteString(standin.WriteEvent(n, eventText(content, n)))
 	}
 	return b.String()
 }
 
 // numberOf reads the ID of an event; 0 if there is none, -1 if it is no number.
-func numberOf(id string) int {
+func eventNumber(id string) int {
 	if id == "" {
 		return 0
 	}
--- a/soak/events.go
+++ b/soak/events.go
@@ -21,16 +21,16 @@
 	rng *rand.Rand
 	now func() time.Duration
 	// piece is the longest piece in which the caller reads most of the time.
-	piece int
+	maxReadSize int
 	// slow is the longest time that the caller waits before it reads on.
-	slow time.Duration
+	maxReadPause time.Duration
 	// got is told of each event, and returns whether the caller stays.
-	got func(e Event) bool
+	onEvent func(e Event) bool
 
 	// body is what the caller has taken, handed the length of its events that were handed
 	// out.
-	body   []byte
-	handed int
+	body      []byte
+	delivered int
 }
 
 // errCallerLeft ends the reading of a caller that has had enough.
@@ -38,17 +38,17 @@
 
 // Pieces in which callers read, of small and of big events.
 const (
-	oddPiece = 700
-	bigPiece = 16 << 10
+	smallEventReadSize = 700
+	bigEventReadSize   = 16 << 10
 )
 
 // read reads to the end of an answer, in odd pieces.
 func (e *eventReader) read(r io.Reader) error {
-	buf := make([]byte, bigPiece)
+	buf := make([]byte, bigEventReadSize)
 	for {
 		size := len(buf)
 		if e.rng.IntN(3) > 0 {
-			size = 1 + e.rng.IntN(e.piece)
+			size = 1 + e.rng.IntN(e.maxReadSize)
 		}
 		n, err := r.Read(buf[:size])
 		if n > 0 && !e.feed(buf[:n]) {
@@ -60,8 +60,8 @@
 		if err != nil {
 			return err
 		}
-		if e.slow > 0 && e.rng.IntN(8) == 0 {
-			time.Sleep(time.Duration(e.rng.Float64() * float64(e.slow)))
+		if e.maxReadPause > 0 && e.rng.IntN(8) == 0 {
+			time.Sleep(time.Duration(e.rng.Float64() * float64(e.maxReadPause)))
 		}
 	}
 }
@@ -71,13 +71,13 @@
 func (e *eventReader) feed(data []byte) bool {
 	e.body = append(e.body, data...)
 	for {
-		block, _, ok := bytes.Cut(e.body[e.handed:], []byte("\n\n"))
+		block, _, ok := bytes.Cut(e.body[e.delivered:], []byte("\n\n"))
 		if !ok {
 			return true
 		}
-		e.handed += len(block) + len("\n\n")
-		if !e.got(parseEvent(string(block), e.now())) {
-			e.body = e.body[:e.handed]
+		e.delivered += len(block) + len("\n\n")
+		if !e.onEvent(parseEvent(string(block), e.now())) {
+			e.body = e.body[:e.delivered]
 			return false
 		}
 	}
--- a/soak/faults.go
+++ b/soak/fault_injector.go
@@ -11,25 +11,25 @@
 )
 
 // faults plays a plan.
-type faults struct {
-	site *site
-	rec  *recorder
-	load *load
-	ops  *operators
-	wg   sync.WaitGroup
+type faultInjector struct {
+	cluster *cluster
+	rec     *recorder
+	load    *load
+	ops     *operators
+	wg      sync.WaitGroup
 	// disk is held while a replica of control has lost its disk and is no voter again.
-	disk sync.Mutex
+	diskMu sync.Mutex
 }
 
 // play makes each step at its time; steps overlap.
-func (f *faults) play(ctx context.Context, plan []Step) {
-	var replaced []Step
+func (f *faultInjector) run(ctx context.Context, plan []Step) {
+	var replacements []Step
 	for _, step := range plan {
 		if step.Kind.Replaces() {
-			replaced = append(replaced, step)
+			replacements = append(replacements, step)
 		}
 	}
-	f.wg.Go(func() { f.replaceAll(ctx, replaced) })
+	f.wg.Go(func() { f.replaceAll(ctx, replacements) })
 	for _, step := range plan {
 		if step.Kind.Replaces() {
 			continue
@@ -38,52 +38,52 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.wg.Go(func() { f.make(ctx, step) })
+		f.wg.Go(func() { f.runStep(ctx, step) })
 	}
 }
 
 // make makes one step and notes when it was over.
-func (f *faults) make(ctx context.Context, step Step) {
-	over := f.begin(step, f.targets(step)...)
-	defer over()
+func (f *faultInjector) runStep(ctx context.Context, step Step) {
+	recordEnd := f.recordStep(step, f.targets(step)...)
+	defer recordEnd()
 	switch step.Kind {
 	case KillGateway, PauseGateway, StopGateway, Reload:
-		f.gateway(ctx, step)
+		f.runGatewayStep(ctx, step)
 	case KillControl, PauseControl, WipeControl, KillAllControl:
-		f.control(ctx, step)
+		f.runControlStep(ctx, step)
 	case ChangeTable:
-		f.ops.change(ctx, appService)
+		f.ops.putTable(ctx, appService)
 	case InvalidTable:
-		f.ops.change(ctx, "none")
+		f.ops.putTable(ctx, "none")
 	case RaceTables:
 		var wg sync.WaitGroup
 		for range 2 {
-			wg.Go(func() { f.ops.change(ctx, appService) })
+			wg.Go(func() { f.ops.putTable(ctx, appService) })
 		}
 		wg.Wait()
 	case EvacuateZone:
 		f.ops.evacuate(ctx, step)
 	case ReportLimit:
-		f.nameLimit(ctx, step)
+		f.reportLimit(ctx, step)
 	case RequestPauses:
-		f.askPause(ctx, step)
+		f.requestPauses(ctx, step)
 	case ReportLeaving:
-		f.sayLeaving(ctx, step)
+		f.reportLeaving(ctx, step)
 	case SlowReaders:
-		f.slowCallers(ctx, step)
+		f.runSlowReaders(ctx, step)
 	case SlowServer:
 		f.slowServer(ctx, step)
 	case Burst:
-		f.load.faster.Add(2)
+		f.load.rateFactor.Add(2)
 		sleep(ctx, step.For)
-		f.load.faster.Add(-2)
+		f.load.rateFactor.Add(-2)
 	default:
-		f.server(ctx, step)
+		f.runServerStep(ctx, step)
 	}
 }
 
 // targets names the processes and servers that a step disturbs.
-func (f *faults) targets(step Step) []string {
+func (f *faultInjector) targets(step Step) []string {
 	switch step.Kind {
 	case KillGateway, PauseGateway, StopGateway, Reload:
 		return []string{gatewayName(step.Target)}
@@ -91,29 +91,29 @@
 		return []string{controlName(step.Target)}
 	case KillAllControl:
 		var out []string
-		for n := range f.site.shape.Controls {
+		for n := range f.cluster.shape.Controls {
 			out = append(out, controlName(n))
 		}
 		return out
 	case ChangeTable, RaceTables, InvalidTable, EvacuateZone, Burst, ReportLimit, RequestPauses, SlowReaders:
 		return []string{string(step.Kind)}
 	}
-	b, _ := f.site.servers[step.Target].now()
+	b, _ := f.cluster.servers[step.Target].current()
 	return []string{b.ID}
 }
 
 // begin notes the begin of a step at some targets and returns what notes its
 // end.
-func (f *faults) begin(step Step, targets ...string) func() {
+func (f *faultInjector) recordStep(step Step, targets ...string) func() {
 	first := 0
-	f.rec.add(func(h *History) {
+	f.rec.update(func(h *History) {
 		first = len(h.Outages)
 		for _, t := range targets {
 			h.Outages = append(h.Outages, Outage{Step: step, Process: t, From: f.rec.now(), To: step.At + time.Hour})
 		}
 	})
 	return func() {
-		f.rec.add(func(h *History) {
+		f.rec.update(func(h *History) {
 			for i := range targets {
 				h.Outages[first+i].To = f.rec.now()
 			}
@@ -123,15 +123,15 @@
 
 // platformNotice is the time in which the platform notices that a gateway is
 // not ready, and sends callers elsewhere.
-const platformNotice = 2 * time.Second
+const readinessDelay = 2 * time.Second
 
-func (f *faults) gateway(ctx context.Context, step Step) {
-	p := f.site.processes[gatewayName(step.Target)]
-	p.life.Lock()
-	defer p.life.Unlock()
+func (f *faultInjector) runGatewayStep(ctx context.Context, step Step) {
+	p := f.cluster.processes[gatewayName(step.Target)]
+	p.lifeMu.Lock()
+	defer p.lifeMu.Unlock()
 	switch step.Kind {
 	case KillGateway:
-		p.end(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 		sleep(ctx, step.For/4)
 		_ = p.start()
 	case PauseGateway:
@@ -148,37 +148,37 @@
 
 // restartGateway stops a gateway in order and has it started again, as the platform sends
 // callers meanwhile.
-func (f *faults) restartGateway(ctx context.Context, n int, start func()) {
-	notice := time.AfterFunc(platformNotice, func() { f.load.out[n].Store(true) })
-	f.site.processes[gatewayName(n)].end(syscall.SIGTERM)
-	notice.Stop()
-	f.load.out[n].Store(true)
+func (f *faultInjector) restartGateway(ctx context.Context, n int, start func()) {
+	excluded := time.AfterFunc(readinessDelay, func() { f.load.excluded[n].Store(true) })
+	f.cluster.processes[gatewayName(n)].stop(syscall.SIGTERM)
+	excluded.Stop()
+	f.load.excluded[n].Store(true)
 	start()
 	sleep(ctx, time.Second)
-	f.load.out[n].Store(false)
+	f.load.excluded[n].Store(false)
 }
 
-func (f *faults) control(ctx context.Context, step Step) {
+func (f *faultInjector) runControlStep(ctx context.Context, step Step) {
 	name := controlName(step.Target)
-	p := f.site.processes[name]
+	p := f.cluster.processes[name]
 	if step.Kind == KillAllControl {
 		f.killAllControl()
 		return
 	}
 	if step.Kind == WipeControl {
-		f.disk.Lock()
-		defer f.whenMember(ctx, name, f.disk.Unlock)
+		f.diskMu.Lock()
+		defer f.afterMember(ctx, name, f.diskMu.Unlock)
 	}
-	p.life.Lock()
-	defer p.life.Unlock()
+	p.lifeMu.Lock()
+	defer p.lifeMu.Unlock()
 	switch step.Kind {
 	case KillControl:
-		p.end(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 		sleep(ctx, step.For)
 		_ = p.start()
 	case WipeControl:
-		p.end(syscall.SIGKILL)
-		_ = f.site.wipe(name)
+		p.stop(syscall.SIGKILL)
+		_ = f.cluster.wipeDisk(name)
 		sleep(ctx, step.For/2)
 		_ = p.start()
 	case PauseControl:
@@ -190,17 +190,17 @@
 
 // killAllControl ends all replicas at once and starts them again; their disks
 // are kept.
-func (f *faults) killAllControl() {
+func (f *faultInjector) killAllControl() {
 	var all []*process
-	for n := range f.site.shape.Controls {
-		p := f.site.processes[controlName(n)]
-		p.life.Lock()
-		defer p.life.Unlock()
+	for n := range f.cluster.shape.Controls {
+		p := f.cluster.processes[controlName(n)]
+		p.lifeMu.Lock()
+		defer p.lifeMu.Unlock()
 		all = append(all, p)
 	}
 	var wg sync.WaitGroup
 	for _, p := range all {
-		wg.Go(func() { p.end(syscall.SIGKILL) })
+		wg.Go(func() { p.stop(syscall.SIGKILL) })
 	}
 	wg.Wait()
 	for _, p := range all {
@@ -208,12 +208,12 @@
 	}
 }
 
-func (f *faults) server(ctx context.Context, step Step) {
-	v := f.site.servers[step.Target]
-	b, p := v.now()
+func (f *faultInjector) runServerStep(ctx context.Context, step Step) {
+	srv := f.cluster.servers[step.Target]
+	b, p := srv.current()
 	switch step.Kind {
 	case KillServer, DrainServer:
-		f.replace(ctx, step, v)
+		f.replaceServer(ctx, step, srv)
 	case RefuseRequests, LoseAnswers, CutStreams:
 		fault := map[Kind]standin.Fault{RefuseRequests: standin.Refuse, LoseAnswers: standin.LoseAnswer, CutStreams: standin.CutStream}[step.Kind]
 		every := 0
@@ -229,16 +229,16 @@
 		sleep(ctx, step.For)
 		b.SetFault(nil)
 	case DisturbCalls, BreakStreams, CloseStreams:
-		v.mu.Lock()
-		t := v.trouble
-		v.mu.Unlock()
-		t.set(step.Kind, 1)
+		srv.mu.Lock()
+		d := srv.disturber
+		srv.mu.Unlock()
+		d.add(step.Kind, 1)
 		sleep(ctx, step.For)
-		t.set(step.Kind, -1)
+		d.add(step.Kind, -1)
 	case DuplicateAnswers:
-		p.second(true)
+		p.setDuplicate(true)
 		sleep(ctx, step.For)
-		p.second(false)
+		p.setDuplicate(false)
 	case ResetLink:
 		p.reset()
 	case SilenceLink, SilenceAnswers, DelayLink:
@@ -246,33 +246,33 @@
 		if step.Kind == DelayLink {
 			delay = 30 * time.Millisecond
 		}
-		p.set(step.Kind == SilenceLink, step.Kind == SilenceAnswers, delay)
+		p.disturb(step.Kind == SilenceLink, step.Kind == SilenceAnswers, delay)
 		sleep(ctx, step.For)
-		p.set(false, false, 0)
+		p.disturb(false, false, 0)
 	}
 }
 
 // replace ends a server and starts another incarnation of it, at once or as
 // planned: then it says so first and serves on for a while.
-func (f *faults) replace(ctx context.Context, step Step, v *server) {
-	v.life.Lock()
-	defer v.life.Unlock()
+func (f *faultInjector) replaceServer(ctx context.Context, step Step, srv *server) {
+	srv.lifeMu.Lock()
+	defer srv.lifeMu.Unlock()
 	if step.Kind == DrainServer {
-		v.leave(true)
-		b, _ := v.now()
-		if f.site.report(ctx, v, "draining") {
-			f.rec.add(func(h *History) { h.Drains = append(h.Drains, Drain{Server: b.ID, At: f.rec.now()}) })
+		srv.setLeaving(true)
+		b, _ := srv.current()
+		if f.cluster.reportServer(ctx, srv, "draining") {
+			f.rec.update(func(h *History) { h.Drains = append(h.Drains, Drain{Server: b.ID, At: f.rec.now()}) })
 		}
 		sleep(ctx, drainBound+time.Second)
 	}
-	late := f.site.heartbeatOf(v, "ready")
-	v.end()
+	lateReport := f.cluster.heartbeatBody(srv, "ready")
+	srv.kill()
 	if step.Kind == KillServer {
 		sleep(ctx, step.For)
 	}
-	_ = f.site.raise(v)
+	_ = f.cluster.startServer(srv)
 	f.wg.Go(func() { // a report of the start before comes late
 		sleep(ctx, step.For)
-		f.site.say(ctx, step.Target%len(f.site.api), v.name, late)
+		f.cluster.postHeartbeat(ctx, step.Target%len(f.cluster.apiAddresses), srv.name, lateReport)
 	})
 }
--- /dev/null
+++ b/soak/heartbeats.go
@@ -0,0 +1,60 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// beats reports all servers until the context ends.
+func (cl *cluster) sendHeartbeats(ctx context.Context) {
+	t := time.NewTicker(300 * time.Millisecond)
+	defer t.Stop()
+	for {
+		for _, srv := range cl.servers {
+			srv.mu.Lock()
+			leaving := srv.leaving
+			srv.mu.Unlock()
+			if !leaving {
+				cl.reportServer(ctx, srv, "ready")
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.C:
+		}
+	}
+}
+
+// report tells control of a server, at any replica that takes it.
+func (cl *cluster) reportServer(ctx context.Context, srv *server, state string) bool {
+	text := cl.heartbeatBody(srv, state)
+	for n := range cl.apiAddresses {
+		if cl.postHeartbeat(ctx, n, srv.name, text) == http.StatusOK {
+			return true
+		}
+	}
+	return false
+}
+
+// heartbeatOf is what the present start of a server says of itself.
+func (cl *cluster) heartbeatBody(srv *server, state string) string {
+	b, p := srv.current()
+	srv.mu.Lock()
+	born := srv.born
+	srv.mu.Unlock()
+	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"version":"v1","coldRemainingMs":%d,"slots":%d,"state":%q,"stage":%q,"sequence":%d,"born":%d}`,
+		srv.service, p.addr(), srv.zone, srv.coldRemaining(), engineSlots, state, b.CurrentRole(), cl.sequence.Add(1), born)
+}
+
+// say sends a report about a server to a replica, and returns the status of the answer; zero
+// if none came.
+func (cl *cluster) postHeartbeat(ctx context.Context, replica int, name, text string) int {
+	status, _, err := cl.call(ctx, http.MethodPost, "http://"+cl.apiAddresses[replica]+"/-/instances/"+name+"/heartbeat", text)
+	if err != nil {
+		return 0
+	}
+	return status
+}
--- a/soak/history.go
+++ b/soak/history.go
@@ -205,18 +205,18 @@
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
 // length is how long callers send requests.
-func (r *recorder) length() time.Duration { return r.h.Length }
+func (r *recorder) loadDuration() time.Duration { return r.h.Length }
 
 // add changes the history under its lock.
-func (r *recorder) add(change func(h *History)) {
+func (r *recorder) update(change func(h *History)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.h)
 }
 
 // count counts what went wrong by intent.
-func (r *recorder) count(what string) {
-	r.add(func(h *History) {
+func (r *recorder) countTrouble(what string) {
+	r.update(func(h *History) {
 		if h.Troubles == nil {
 			h.Troubles = map[string]int{}
 		}
--- a/soak/load.go
+++ b/soak/load.go
@@ -18,23 +18,23 @@
 	requestsPerSecond = 60
 	// leaveShare is the share of callers that leave before their answer is
 	// whole.
-	leaveShare = 0.06
+	disconnectShare = 0.06
 	// connections is the number of kept connections of all callers to a gateway.
-	connections = 8
+	idleConnections = 8
 )
 
 // organisations are whose requests come, each as often as it stands here; the last one has
 // no key that any table has held.
-var organisations = []string{"one", "one", "one", "two", "two", "two", "two", "hot", "hot", unknown}
+var organisations = []string{"one", "one", "one", "two", "two", "two", "two", "hot", "hot", unknownOrganisation}
 
 // Contents of requests. That of deadly ones ends each server which runs it.
 const (
-	usualContent  = "x"
-	deadlyContent = "deadly"
+	defaultContent = "x"
+	deadlyContent  = "deadly"
 )
 
 // unknown is the organisation of callers whose key is not known.
-const unknown = "nobody"
+const unknownOrganisation = "nobody"
 
 // Sizes of requests and of the limit of the organisation hot, in tokens. At sixty requests
 // a second it asks for some 2.5 times its limit.
@@ -49,28 +49,28 @@
 
 // load sends requests of all kinds to all gateways that take callers.
 type load struct {
-	site *site
-	rec  *recorder
-	rng  *rand.Rand
+	cluster *cluster
+	rec     *recorder
+	rng     *rand.Rand
 	// faster multiplies the rate.
-	faster  atomic.Int64
-	out     []atomic.Bool // gateways that callers are not sent to
-	clients []*http.Client
-	wg      sync.WaitGroup
-	next    int
-	seed    uint64
+	rateFactor atomic.Int64
+	excluded   []atomic.Bool // gateways that callers are not sent to
+	clients    []*http.Client
+	wg         sync.WaitGroup
+	lastID     int
+	seed       uint64
 	// texts says what the events of streams hold.
-	texts string
+	textMarker string
 	// ended tells that no more requests come.
 	ended atomic.Bool
 }
 
-func newLoad(s *site, rec *recorder, seed uint64) *load {
-	l := &load{site: s, rec: rec, seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), out: make([]atomic.Bool, s.shape.Gateways)}
-	l.faster.Store(1)
-	for range s.shape.Gateways {
+func newLoad(cl *cluster, rec *recorder, seed uint64) *load {
+	l := &load{cluster: cl, rec: rec, seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), excluded: make([]atomic.Bool, cl.shape.Gateways)}
+	l.rateFactor.Store(1)
+	for range cl.shape.Gateways {
 		l.clients = append(l.clients, &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: connections, IdleConnTimeout: 8 * time.Second,
+			MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: 8 * time.Second,
 			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 		}})
 	}
@@ -80,11 +80,11 @@
 // run sends requests until the context ends, and waits for those under way.
 func (l *load) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := time.Duration(l.rng.ExpFloat64() * float64(time.Second) / float64(requestsPerSecond*l.faster.Load()))
+		pause := time.Duration(l.rng.ExpFloat64() * float64(time.Second) / float64(requestsPerSecond*l.rateFactor.Load()))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
-			l.one()
+			l.sendOne()
 		}
 	}
 	l.ended.Store(true)
@@ -92,52 +92,52 @@
 }
 
 // one sends one request.
-func (l *load) one() {
-	l.next++
+func (l *load) sendOne() {
+	l.lastID++
 	kinds := []RequestKind{Checkout, Checkout, Rates, Review, Desk, Desk}
 	organisation := organisations[l.rng.IntN(len(organisations))]
-	q := Request{ID: fmt.Sprintf("q%d", l.next), Kind: kinds[l.rng.IntN(len(kinds))], Gateway: l.rng.IntN(l.site.shape.Gateways), Organisation: organisation, Content: usualContent}
-	if l.out[q.Gateway].Load() {
+	q := Request{ID: fmt.Sprintf("q%d", l.lastID), Kind: kinds[l.rng.IntN(len(kinds))], Gateway: l.rng.IntN(l.cluster.shape.Gateways), Organisation: organisation, Content: defaultContent}
+	if l.excluded[q.Gateway].Load() {
 		return // the platform sends callers elsewhere
 	}
-	leaves := l.rng.Float64() < leaveShare
+	disconnects := l.rng.Float64() < disconnectShare
 	after := time.Duration(l.rng.Float64() * float64(300*time.Millisecond))
 	if q.Kind == Desk {
-		seed := l.seed<<32 + uint64(l.next)
-		l.wg.Go(func() { l.desk(q, seed) })
+		seed := l.seed<<32 + uint64(l.lastID)
+		l.wg.Go(func() { l.runDeskCaller(q, seed) })
 		return
 	}
 	if q.Kind == Review {
-		q.Content = "review " + q.ID + " " + l.texts
+		q.Content = "review " + q.ID + " " + l.textMarker
 	}
 	l.wg.Go(func() {
-		l.send(&q, leaves, after)
-		l.rec.add(func(h *History) { h.Requests = append(h.Requests, q) })
+		l.send(&q, disconnects, after)
+		l.rec.update(func(h *History) { h.Requests = append(h.Requests, q) })
 	})
 }
 
-func (l *load) send(q *Request, leaves bool, after time.Duration) {
+func (l *load) send(q *Request, disconnects bool, after time.Duration) {
 	deadline := deadlines[q.Kind]
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+time.Second)
 	defer cancel()
-	if leaves {
+	if disconnects {
 		t := time.AfterFunc(after, func() {
-			l.rec.add(func(*History) { q.LeftAt = l.rec.now() })
+			l.rec.update(func(*History) { q.LeftAt = l.rec.now() })
 			cancel()
 		})
 		defer t.Stop()
 	}
 	q.Sent = l.rec.now()
-	status, body, err := l.ask(ctx, q, deadline)
-	l.rec.add(func(*History) {
+	status, body, err := l.do(ctx, q, deadline)
+	l.rec.update(func(*History) {
 		q.Ended, q.Status, q.Body, q.Cut = l.rec.now(), status, body, err != nil
 		var op *net.OpError
 		q.Unconnected = errors.As(err, &op) && op.Op == "dial"
 	})
 }
 
-func (l *load) ask(ctx context.Context, q *Request, deadline time.Duration) (int, string, error) {
-	req, err := l.request(ctx, q, deadline)
+func (l *load) do(ctx context.Context, q *Request, deadline time.Duration) (int, string, error) {
+	req, err := l.newRequest(ctx, q, deadline)
 	if err != nil {
 		return 0, "", err
 	}
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -13,7 +13,7 @@
 
 // document is the routing table of a run; each version has a route that no other
 // one has, so that a gateway shows which is in force.
-const document = `{"version":VERSION,"routes":[
+const tableTemplate = `{"version":VERSION,"routes":[
  {"name":"checkout","host":"h","pathPrefix":"/checkout/","kind":"non_idempotent","timeoutMs":3000,"targetLatencyMs":300,"service":"app","maxAttempts":1},
  {"name":"rates","host":"h","pathPrefix":"/rates/","kind":"idempotent","timeoutMs":3000,"targetLatencyMs":300,"service":"app","maxAttempts":2},
  {"name":"review","host":"h","pathPrefix":"/review/","kind":"streaming","timeoutMs":8000,"targetLatencyMs":900,"gapTargetMs":500,"service":"llm","maxAttempts":1},
@@ -29,35 +29,35 @@
 
 // engineMemory is the memory of an engine in tokens: some six runs, so that engines fill and
 // runs move.
-const engineMemory = 3600
+const engineKVTokens = 3600
 
 func tableText(version int, service string) string {
 	return strings.NewReplacer("VERSION", fmt.Sprint(version), "SERVICE", service, "HOT", fmt.Sprint(hotRate),
 		"COLDSTART", fmt.Sprintf("%.1f", coldTime.Seconds()), "COLDRATE", fmt.Sprintf("%.1f", coldRate),
-		"KVTOKENS", fmt.Sprint(engineMemory), "STRIDE", fmt.Sprint(eventTokens)).Replace(document)
+		"KVTOKENS", fmt.Sprint(engineKVTokens), "STRIDE", fmt.Sprint(eventTokens)).Replace(tableTemplate)
 }
 
 // operators change the table, read it, and look which one gateways show.
 type operators struct {
 	// evacuating is held while the far zone is being evacuated.
-	evacuating sync.Mutex
-	site       *site
-	rec        *recorder
+	evacuationMu sync.Mutex
+	cluster      *cluster
+	rec          *recorder
 	// version is the newest that was given out, acked the newest that was
 	// acknowledged.
-	version atomic.Int64
-	acked   atomic.Int64
-	probes  atomic.Int64
+	lastVersion atomic.Int64
+	lastAcked   atomic.Int64
+	probeCount  atomic.Int64
 }
 
 // change makes a new table and sends it until it is acknowledged or the time is
 // over, as an operator does who loses answers.
-func (o *operators) change(ctx context.Context, service string) {
-	version := int(o.version.Add(1))
+func (o *operators) putTable(ctx context.Context, service string) {
+	version := int(o.lastVersion.Add(1))
 	text := tableText(version, service)
 	p := Put{Version: version, Sent: o.rec.now(), Valid: service != "none"}
 	for try := 0; ctx.Err() == nil && try < 40; try++ {
-		status, _, err := o.site.call(ctx, http.MethodPost, "http://"+o.site.api[try%len(o.site.api)]+"/-/config/put", text)
+		status, _, err := o.cluster.call(ctx, http.MethodPost, "http://"+o.cluster.apiAddresses[try%len(o.cluster.apiAddresses)]+"/-/config/put", text)
 		if err == nil && (status == http.StatusOK || status == http.StatusBadRequest) {
 			p.Status = status
 			break
@@ -66,44 +66,44 @@
 	}
 	p.Ended = o.rec.now()
 	if p.Status == http.StatusOK {
-		o.acked.Store(max(o.acked.Load(), int64(version)))
+		o.lastAcked.Store(max(o.lastAcked.Load(), int64(version)))
 	}
-	o.rec.add(func(h *History) { h.Puts = append(h.Puts, p) })
+	o.rec.update(func(h *History) { h.Puts = append(h.Puts, p) })
 }
 
 // read reads the table at one replica of control.
-func (o *operators) read(ctx context.Context, control int) Read {
+func (o *operators) readTable(ctx context.Context, control int) Read {
 	r := Read{Control: control, Sent: o.rec.now()}
-	status, body, err := o.site.call(ctx, http.MethodGet, "http://"+o.site.api[control]+"/-/config/get", "")
+	status, body, err := o.cluster.call(ctx, http.MethodGet, "http://"+o.cluster.apiAddresses[control]+"/-/config/get", "")
 	r.Ended = o.rec.now()
 	var doc struct {
 		Version int `json:"version"`
 	}
 	if err == nil && status == http.StatusOK && json.Unmarshal([]byte(body), &doc) == nil {
 		r.Status, r.Version = status, doc.Version
-		o.rec.add(func(h *History) { h.Reads = append(h.Reads, r) })
+		o.rec.update(func(h *History) { h.Reads = append(h.Reads, r) })
 	}
 	return r
 }
 
 // reads reads the table at all replicas until the context ends.
-func (o *operators) reads(ctx context.Context) {
+func (o *operators) readTables(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		o.read(ctx, n%len(o.site.api))
+		o.readTable(ctx, n%len(o.cluster.apiAddresses))
 		sleep(ctx, 150*time.Millisecond)
 	}
 }
 
 // probe asks each gateway for the route of the newest acknowledged table, and
 // for that of the one before, until the context ends.
-func (o *operators) probe(ctx context.Context) {
+func (o *operators) probeGateways(ctx context.Context) {
 	for ctx.Err() == nil {
-		newest := int(o.acked.Load())
+		newest := int(o.lastAcked.Load())
 		var wg sync.WaitGroup
-		for n := range o.site.shape.Gateways {
+		for n := range o.cluster.shape.Gateways {
 			for _, version := range []int{newest, newest - 1} {
 				if version > 0 {
-					wg.Go(func() { o.probeOne(ctx, n, version) })
+					wg.Go(func() { o.probeGateway(ctx, n, version) })
 				}
 			}
 		}
@@ -112,29 +112,29 @@
 	}
 }
 
-func (o *operators) probeOne(ctx context.Context, gateway, version int) {
-	p := Probe{Gateway: gateway, Incarnation: o.site.processes[gatewayName(gateway)].number(), Version: version, Sent: o.rec.now()}
-	p.Status = o.show(ctx, gateway, version)
+func (o *operators) probeGateway(ctx context.Context, gateway, version int) {
+	p := Probe{Gateway: gateway, Incarnation: o.cluster.processes[gatewayName(gateway)].incarnations(), Version: version, Sent: o.rec.now()}
+	p.Status = o.probeStatus(ctx, gateway, version)
 	p.Ended = o.rec.now()
 	if p.Status != 0 {
-		o.rec.add(func(h *History) { h.Probes = append(h.Probes, p) })
+		o.rec.update(func(h *History) { h.Probes = append(h.Probes, p) })
 	}
 }
 
 // show asks a gateway for the route that only one table has, and returns the
 // status of the answer; zero if none came.
-func (o *operators) show(ctx context.Context, gateway, version int) int {
+func (o *operators) probeStatus(ctx context.Context, gateway, version int) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/version-%d/x", o.site.front[gateway], version)
+	url := fmt.Sprintf("http://%s/version-%d/x", o.cluster.callerAddresses[gateway], version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
 	}
 	req.Host = "h"
 	req.Header.Set("Authorization", "Bearer key-two")
-	req.Header.Set(headers.RequestID, fmt.Sprint("probe-", o.probes.Add(1)))
-	resp, err := o.site.client.Do(req)
+	req.Header.Set(headers.RequestID, fmt.Sprint("probe-", o.probeCount.Add(1)))
+	resp, err := o.cluster.client.Do(req)
 	if err != nil {
 		return 0
 	}
--- a/soak/pauses.go
+++ b/soak/pauses.go
@@ -26,28 +26,28 @@
 
 // The page's bounds of what a server gets from a gateway in a pause.
 const (
-	pauseHeed  = 500 * time.Millisecond
-	mostPaused = 2
+	pauseReactionTime = 500 * time.Millisecond
+	maxPauseRequests  = 2
 )
 
 // pauseSeconds are drawn from.
 var pauseSeconds = []float64{0.2, 1, 1, 2, 3, 3, 5}
 
 // pauseManner is how a server asks for pauses.
-type pauseManner int
+type pausePattern int
 
 const (
 	// pausesAlways turns all requests away, for one time.
-	pausesAlways pauseManner = iota
+	pauseConstant pausePattern = iota
 	// pausesChanging asks for another time in each refusal.
-	pausesChanging
+	pauseChanging
 	// pausesSome turns one request in three away.
-	pausesSome
+	pauseSomeAnswers
 	// pausesBadly names times between that can't be read.
-	pausesBadly
+	pauseMalformed
 )
 
-var pauseManners = []pauseManner{pausesAlways, pausesAlways, pausesChanging, pausesSome, pausesBadly}
+var pausePatterns = []pausePattern{pauseConstant, pauseConstant, pauseChanging, pauseSomeAnswers, pauseMalformed}
 
 // pauseSteps draws when servers ask for pauses and say that they leave, by a draw of its own: some
 // of them together.
@@ -55,8 +55,8 @@
 	r := rand.New(rand.NewPCG(seed, 13))
 	var out []Step
 	engines := shape.Prefills + shape.Decodes
-	free := map[int]time.Duration{}
-	for at := time.Duration(float64(calmStart) * (0.5 + r.Float64())); at < length-calmEnd; at += time.Duration(float64(4*time.Second) * r.Float64()) {
+	freeAt := map[int]time.Duration{}
+	for at := time.Duration(float64(faultFreeStart) * (0.5 + r.Float64())); at < length-faultFreeEnd; at += time.Duration(float64(4*time.Second) * r.Float64()) {
 		kind, n := RequestPauses, 1+r.IntN(shape.Apps)
 		first := engines + r.IntN(shape.Apps)
 		d := time.Duration((0.5 + 4*r.Float64()) * float64(time.Second))
@@ -67,10 +67,10 @@
 			kind, n, d = ReportLeaving, 1, drainBound+2*time.Second
 		}
 		for _, target := range shape.serversFrom(first, n) {
-			if at < free[target] {
+			if at < freeAt[target] {
 				continue
 			}
-			free[target] = at + d + time.Second
+			freeAt[target] = at + d + time.Second
 			out = append(out, Step{At: at, For: min(d, length-at), Kind: kind, Target: target, Seed: r.Uint64()})
 		}
 	}
@@ -78,32 +78,32 @@
 }
 
 // askPause has a server ask for pauses for a time.
-func (f *faults) askPause(ctx context.Context, step Step) {
-	b, _ := f.site.servers[step.Target].now()
-	b.SetSays(pauseSays(step.Seed))
+func (f *faultInjector) requestPauses(ctx context.Context, step Step) {
+	b, _ := f.cluster.servers[step.Target].current()
+	b.SetSays(pauseAnswers(step.Seed))
 	sleep(ctx, step.For)
 	b.SetSays(nil)
-	f.rec.count("asked for pauses")
+	f.rec.countTrouble("asked for pauses")
 }
 
 // pauseSays returns what the answers of a server say.
-func pauseSays(draw uint64) func(*http.Request) standin.Says {
+func pauseAnswers(draw uint64) func(*http.Request) standin.Says {
 	r := rand.New(rand.NewPCG(draw, 14))
-	manner := pauseManners[r.IntN(len(pauseManners))]
+	pattern := pausePatterns[r.IntN(len(pausePatterns))]
 	seconds := pauseSeconds[r.IntN(len(pauseSeconds))]
 	bad := [][]string{{""}, {"soon"}, {"-3"}, {"1e9"}, {"3", "4"}, {"NaN"}}
-	n := make(chan int, 1)
-	n <- int(r.Uint32N(1000))
+	counter := make(chan int, 1)
+	counter <- int(r.Uint32N(1000))
 	return func(*http.Request) standin.Says {
-		count := <-n
-		n <- count + 1
+		count := <-counter
+		counter <- count + 1
 		d := seconds
 		switch {
-		case manner == pausesSome && count%3 != 0:
+		case pattern == pauseSomeAnswers && count%3 != 0:
 			return standin.Says{}
-		case manner == pausesBadly && count%2 == 0:
+		case pattern == pauseMalformed && count%2 == 0:
 			return standin.Says{RetryAfter: bad[count/2%len(bad)]}
-		case manner == pausesChanging:
+		case pattern == pauseChanging:
 			d = pauseSeconds[count%len(pauseSeconds)]
 		}
 		return standin.Says{RetryAfter: []string{strconv.FormatFloat(d, 'f', -1, 64)}}
@@ -112,11 +112,11 @@
 
 // sayLeaving has a server say in its answers that it leaves, all of them or some, while its
 // heartbeats say that it is ready; then it is replaced.
-func (f *faults) sayLeaving(ctx context.Context, step Step) {
-	v := f.site.servers[step.Target]
-	v.life.Lock()
-	defer v.life.Unlock()
-	b, _ := v.now()
+func (f *faultInjector) reportLeaving(ctx context.Context, step Step) {
+	srv := f.cluster.servers[step.Target]
+	srv.lifeMu.Lock()
+	defer srv.lifeMu.Unlock()
+	b, _ := srv.current()
 	some := step.Seed%2 == 0
 	b.SetSays(func(r *http.Request) standin.Says {
 		if some && len(r.Header.Get(headers.RequestID))%2 == 0 {
@@ -125,14 +125,14 @@
 		return standin.Leaves(r)
 	})
 	sleep(ctx, step.For)
-	v.end()
-	_ = f.site.raise(v)
-	f.rec.count("said that it leaves")
+	srv.kill()
+	_ = f.cluster.startServer(srv)
+	f.rec.countTrouble("said that it leaves")
 }
 
 // askedArrival returns an arrival as it is judged.
-func (s *site) askedArrival(b *standin.Backend, a standin.Asked) SelfReportArrival {
-	out := SelfReportArrival{Server: b.ID, ID: a.ID, Path: a.Path, At: a.At.Sub(s.rec.start), Leaving: len(a.Leaving) > 0}
+func (cl *cluster) newSelfReportArrival(b *standin.Backend, a standin.Asked) SelfReportArrival {
+	out := SelfReportArrival{Server: b.ID, ID: a.ID, Path: a.Path, At: a.At.Sub(cl.rec.start), Leaving: len(a.Leaving) > 0}
 	if len(a.RetryAfter) == 1 && strings.Trim(a.RetryAfter[0], "0123456789.") == "" {
 		if seconds, err := strconv.ParseFloat(a.RetryAfter[0], 64); err == nil {
 			out.Pause = time.Duration(seconds * float64(time.Second))
@@ -142,12 +142,12 @@
 }
 
 // wayKinds are the steps at a server that hold up, or lose, what passes between it and gateways.
-var wayKinds = []Kind{SilenceLink, SilenceAnswers, ResetLink, DelayLink, KillServer, DuplicateAnswers}
+var linkKinds = []Kind{SilenceLink, SilenceAnswers, ResetLink, DelayLink, KillServer, DuplicateAnswers}
 
 // heldUp tells whether what passes between a server and gateways was held up or lost in a time.
-func (h *History) heldUp(server string, from, to time.Duration) bool {
+func (h *History) linkDisturbed(server string, from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Outages, func(o Outage) bool {
-		return o.Process == server && slices.Contains(wayKinds, o.Kind) && o.From <= to && o.To >= from
+		return o.Process == server && slices.Contains(linkKinds, o.Kind) && o.From <= to && o.To >= from
 	})
 }
 
@@ -159,15 +159,15 @@
 		gateways[q.ID] = gatewayName(q.Gateway)
 	}
 	type pair struct{ server, gateway string }
-	came := map[pair][]SelfReportArrival{}
+	arrivals := map[pair][]SelfReportArrival{}
 	for _, a := range h.Asked {
 		if g := gateways[a.ID]; g != "" {
-			came[pair{a.Server, g}] = append(came[pair{a.Server, g}], a)
+			arrivals[pair{a.Server, g}] = append(arrivals[pair{a.Server, g}], a)
 		}
 	}
 	var out []string
-	for p, list := range came {
-		if worst, n := mostInPause(h, p.server, p.gateway, list); n > mostPaused {
+	for p, list := range arrivals {
+		if worst, n := worstPause(h, p.server, p.gateway, list); n > maxPauseRequests {
 			out = append(out, fmt.Sprintf("%s got %d requests from %s in the %v after %v, for which it had asked to be left alone", p.server, n, p.gateway, worst.Pause, worst.At))
 		}
 	}
@@ -175,34 +175,34 @@
 }
 
 // mostInPause returns the pause in which most came, and how many did.
-func mostInPause(h *History, server, gateway string, list []SelfReportArrival) (worst SelfReportArrival, most int) {
+func worstPause(h *History, server, gateway string, list []SelfReportArrival) (worst SelfReportArrival, count int) {
 	for i, a := range list {
 		end := a.At + a.Pause
-		if a.Pause <= pauseHeed || h.disturbed(gateway, end, end-a.At) || h.heldUp(server, a.At-pauseHeed, end) {
+		if a.Pause <= pauseReactionTime || h.disturbed(gateway, end, end-a.At) || h.linkDisturbed(server, a.At-pauseReactionTime, end) {
 			continue
 		}
 		n := 0
 		for _, later := range list[i+1:] {
-			if later.At > a.At+pauseHeed && later.At < end {
+			if later.At > a.At+pauseReactionTime && later.At < end {
 				n++
 			}
 		}
-		if n > most {
-			worst, most = a, n
+		if n > count {
+			worst, count = a, n
 		}
 	}
-	return worst, most
+	return worst, count
 }
 
 // checkSaidLeaving wants no request that was sent later than drainBound after a gateway has passed on
 // an answer of a server that says that it leaves to reach that server from that gateway, unless the
 // gateway was restarted or paused since.
-func checkSaidLeaving(h *History) []string {
+func checkReportedLeaving(h *History) []string {
 	requests := map[string]Request{}
 	for _, q := range h.Requests {
 		requests[q.ID] = q
 	}
-	told := map[string]time.Duration{} // when each gateway had passed on such an answer, by server
+	notifiedAt := map[string]time.Duration{} // when each gateway had passed on such an answer, by server
 	var out []string
 	for _, a := range h.Asked {
 		q, known := requests[a.ID]
@@ -210,12 +210,12 @@
 			continue
 		}
 		key := a.Server + " " + gatewayName(q.Gateway)
-		if at, heard := told[key]; heard && q.Sent > at+drainBound && !h.disturbed(gatewayName(q.Gateway), a.At, a.At-at) {
+		if at, notified := notifiedAt[key]; notified && q.Sent > at+drainBound && !h.disturbed(gatewayName(q.Gateway), a.At, a.At-at) {
 			out = append(out, fmt.Sprintf("%s reached %s, which had said to %s at %v that it leaves", a.ID, a.Server, gatewayName(q.Gateway), at))
 		}
 		passed := a.Leaving && q.Status != 0 && !q.Cut && q.LeftAt == 0
-		if at, heard := told[key]; passed && (!heard || q.Ended < at) {
-			told[key] = q.Ended
+		if at, notified := notifiedAt[key]; passed && (!notified || q.Ended < at) {
+			notifiedAt[key] = q.Ended
 		}
 	}
 	return out
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -113,8 +113,8 @@
 const (
 	// calmStart is the time before the first fault, calmEnd that after the
 	// last one is over.
-	calmStart = 1500 * time.Millisecond
-	calmEnd   = 6 * time.Second
+	faultFreeStart = 1500 * time.Millisecond
+	faultFreeEnd   = 6 * time.Second
 )
 
 // faultKinds are drawn from; a kind that stands twice comes twice as often.
@@ -130,8 +130,8 @@
 func NewPlan(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var out []Step
-	controlFree := calmStart
-	for at := calmStart; at < length-calmEnd; at += time.Duration(float64(1600*time.Millisecond) * r.Float64()) {
+	controlFree := faultFreeStart
+	for at := faultFreeStart; at < length-faultFreeEnd; at += time.Duration(float64(1600*time.Millisecond) * r.Float64()) {
 		s := Step{At: at, Kind: faultKinds[r.IntN(len(faultKinds))], For: time.Duration((0.3 + 2.2*r.Float64()) * float64(time.Second))}
 		switch s.Kind {
 		case KillGateway, PauseGateway, StopGateway, Reload:
@@ -141,14 +141,14 @@
 			if at < controlFree {
 				continue
 			}
-			controlFree = at + s.For + controlRecovery
+			controlFree = at + s.For + controlRecoveryTime
 		default:
 			s.Target = r.IntN(shape.Prefills + shape.Decodes + shape.Apps)
 		}
 		out = append(out, s)
 	}
 	out = append(out, streamSteps(seed, length, shape)...)
-	out = append(out, evacuations(seed, length)...)
+	out = append(out, evacuationSteps(seed, length)...)
 	out = append(out, limitSteps(seed, length, shape)...)
 	out = append(out, slowSteps(seed, length, shape)...)
 	out = append(out, pauseSteps(seed, length, shape)...)
@@ -164,7 +164,7 @@
 func streamSteps(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 5))
 	var out []Step
-	for at := calmStart; at < length-calmEnd; at += time.Duration(float64(2*time.Second) * r.Float64()) {
+	for at := faultFreeStart; at < length-faultFreeEnd; at += time.Duration(float64(2*time.Second) * r.Float64()) {
 		out = append(out, Step{
 			At: at, Kind: streamKinds[r.IntN(len(streamKinds))], For: time.Duration((0.5 + 2*r.Float64()) * float64(time.Second)),
 			Target: r.IntN(shape.Prefills + shape.Decodes),
@@ -175,13 +175,13 @@
 
 // evacuations draws when the far zone is evacuated, one time after the other, by a draw of its
 // own.
-func evacuations(seed uint64, length time.Duration) []Step {
+func evacuationSteps(seed uint64, length time.Duration) []Step {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var out []Step
-	for at := calmStart; ; {
+	for at := faultFreeStart; ; {
 		at += time.Duration(float64(3*time.Second) * r.Float64())
 		s := Step{At: at, Kind: EvacuateZone, For: evacuationBound + time.Duration(float64(3*time.Second)*r.Float64())}
-		if s.At+s.For >= length-calmEnd {
+		if s.At+s.For >= length-faultFreeEnd {
 			return out
 		}
 		out = append(out, s)
@@ -190,4 +190,4 @@
 }
 
 // controlRecovery is how long a replica of control may take to be a voter again.
-const controlRecovery = 5 * time.Second
+const controlRecoveryTime = 5 * time.Second
--- a/soak/process.go
+++ b/soak/process.go
@@ -14,8 +14,8 @@
 type build int
 
 const (
-	production build = iota
-	tree
+	productionBuild build = iota
+	treeBuild
 )
 
 // program is a binary with a file of settings for it.
@@ -32,17 +32,17 @@
 	operators string
 
 	// life is held by the step of a plan that ends and starts the process.
-	life sync.Mutex
+	lifeMu sync.Mutex
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
 	// ended is closed when the process has ended.
-	ended chan struct{}
+	done chan struct{}
 	// wanted tells that the end of the process is asked for.
-	wanted      bool
-	incarnation int
-	build       build
-	started     time.Time
+	endRequested bool
+	incarnation  int
+	build        build
+	started      time.Time
 	// onExit is told when a process ends that was not asked to.
 	onExit func(name string, err error)
 }
@@ -64,21 +64,21 @@
 		_ = log.Close()
 		return fmt.Errorf("soak: %s: %w", p.name, err)
 	}
-	p.cmd, p.wanted, p.ended = cmd, false, make(chan struct{})
+	p.cmd, p.endRequested, p.done = cmd, false, make(chan struct{})
 	p.incarnation++
 	p.started = time.Now()
-	go p.wait(cmd, log, p.ended)
+	go p.wait(cmd, log, p.done)
 	return nil
 }
 
-func (p *process) wait(cmd *exec.Cmd, log *os.File, ended chan struct{}) {
+func (p *process) wait(cmd *exec.Cmd, log *os.File, done chan struct{}) {
 	err := cmd.Wait()
 	_ = log.Close()
 	p.mu.Lock()
-	unasked := !p.wanted && p.cmd == cmd
+	unexpected := !p.endRequested && p.cmd == cmd
 	p.mu.Unlock()
-	close(ended)
-	if unasked && p.onExit != nil {
+	close(done)
+	if unexpected && p.onExit != nil {
 		p.onExit(p.name, err)
 	}
 }
@@ -93,22 +93,22 @@
 }
 
 // end asks the process to end, by a signal, and waits until it has.
-func (p *process) end(s syscall.Signal) {
+func (p *process) stop(s syscall.Signal) {
 	p.mu.Lock()
-	p.wanted = true
-	ended := p.ended
+	p.endRequested = true
+	done := p.done
 	p.mu.Unlock()
-	if ended == nil {
+	if done == nil {
 		return
 	}
 	p.signal(s)
-	<-ended
+	<-done
 }
 
 // kill kills the process and does not wait; it returns how often it had been started.
 func (p *process) kill() int {
 	p.mu.Lock()
-	p.wanted = true
+	p.endRequested = true
 	n := p.incarnation
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
@@ -116,42 +116,42 @@
 }
 
 // number returns how often the process has been started.
-func (p *process) number() int {
+func (p *process) incarnations() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.incarnation
 }
 
 // state returns the number of the present start, its time, and whether the process runs.
-func (p *process) state() (incarnation int, started time.Time, runs bool) {
+func (p *process) state() (incarnation int, started time.Time, running bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended != nil {
+	if p.done != nil {
 		select {
-		case <-p.ended:
+		case <-p.done:
 		default:
-			runs = true
+			running = true
 		}
 	}
-	return p.incarnation, p.started, runs
+	return p.incarnation, p.started, running
 }
 
 // use has the next start be of a build.
-func (p *process) use(b build) {
+func (p *process) setBuild(b build) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.build = b
 }
 
 // runsOn returns the build of the process.
-func (p *process) runsOn() build {
+func (p *process) currentBuild() build {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.build
 }
 
 // newProcess writes the settings of a process into a folder, for each build its own.
-func newProcess(binaries [2]string, dir, name string, settings [2]string) (*process, error) {
+func createProcess(binaries [2]string, dir, name string, settings [2]string) (*process, error) {
 	p := &process{name: name, logPath: filepath.Join(dir, name+".log")}
 	for b, file := range []string{name + ".production.yaml", name + ".yaml"} {
 		p.builds[b] = program{binaries[b], filepath.Join(dir, file)}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -17,23 +17,23 @@
 	mu sync.Mutex
 	// silent and silentBack hold bytes up on the way to the server, and on the
 	// way back.
-	silent, silentBack bool
-	delay              time.Duration
+	holdRequests, holdAnswers bool
+	delay                     time.Duration
 	// surplus has an answer come again in the place of the next one.
-	surplus bool
-	count   func(what string)
-	conns   map[net.Conn]bool
-	closed  bool
-	wake    *sync.Cond
+	duplicate    bool
+	countTrouble func(what string)
+	conns        map[net.Conn]bool
+	closed       bool
+	wake         *sync.Cond
 }
 
 // newProxy forwards to target.
-func newProxy(target string, count func(what string)) (*proxy, error) {
+func newProxy(target string, countTrouble func(what string)) (*proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{ln: ln, target: target, count: count, conns: map[net.Conn]bool{}}
+	p := &proxy{ln: ln, target: target, countTrouble: countTrouble, conns: map[net.Conn]bool{}}
 	p.wake = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
@@ -42,10 +42,10 @@
 func (p *proxy) addr() string { return p.ln.Addr().String() }
 
 // set changes how connections are disturbed.
-func (p *proxy) set(silent, silentBack bool, delay time.Duration) {
+func (p *proxy) disturb(holdRequests, holdAnswers bool, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent, p.silentBack, p.delay = silent, silentBack, delay
+	p.holdRequests, p.holdAnswers, p.delay = holdRequests, holdAnswers, delay
 	p.wake.Broadcast()
 }
 
@@ -90,21 +90,21 @@
 	p.mu.Lock()
 	p.conns[in], p.conns[out] = true, true
 	p.mu.Unlock()
-	a := &answers{}
-	go p.copy(in, out, func(data []byte) []byte { a.note(data); return data }, true)
+	la := &lastAnswer{}
+	go p.copy(in, out, func(data []byte) []byte { la.write(data); return data }, true)
 	p.copy(out, in, func(data []byte) []byte {
-		if again := a.again(); len(again) > 0 && p.sendsAgain() {
-			p.count("answer that came again")
-			_, _ = in.Write(again)
+		if duplicate := la.take(); len(duplicate) > 0 && p.drawDuplicate() {
+			p.countTrouble("answer that came again")
+			_, _ = in.Write(duplicate)
 		}
 		return data
 	}, false)
 }
 
 // pass waits while a direction is silent, and for the delay.
-func (p *proxy) pass(back bool) bool {
+func (p *proxy) hold(toClient bool) bool {
 	p.mu.Lock()
-	for !p.closed && (p.silent && !back || p.silentBack && back) {
+	for !p.closed && (p.holdRequests && !toClient || p.holdAnswers && toClient) {
 		p.wake.Wait()
 	}
 	closed, delay := p.closed, p.delay
@@ -115,16 +115,16 @@
 	return !closed
 }
 
-func (p *proxy) copy(to, from net.Conn, passing func([]byte) []byte, back bool) {
-	defer p.drop(to, from)
+func (p *proxy) copy(to, from net.Conn, transform func([]byte) []byte, toClient bool) {
+	defer p.closeConns(to, from)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !p.pass(back) {
+			if !p.hold(toClient) {
 				return
 			}
-			if _, err := to.Write(passing(buf[:n])); err != nil {
+			if _, err := to.Write(transform(buf[:n])); err != nil {
 				return
 			}
 		}
@@ -144,7 +144,7 @@
 	}
 }
 
-func (p *proxy) drop(conns ...net.Conn) {
+func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
--- a/soak/report.go
+++ b/soak/report.go
@@ -19,7 +19,7 @@
 )
 
 // bin is the span of time that one point of a plot stands for.
-const bin = 500 * time.Millisecond
+const plotBin = 500 * time.Millisecond
 
 // reportPage is a run as a page: its counts, plots with the faults drawn in, and
 // the plan.
@@ -34,14 +34,14 @@
 </body></html>
 `))
 
-type picture struct {
+type plotImage struct {
 	Title string
 	PNG   string
 }
 
 // WriteReport writes a page of a run into a file.
 func WriteReport(path string, h *History, violations []Violation) error {
-	var pictures []picture
+	var images []plotImage
 	for _, p := range []struct {
 		title, unit string
 		lines       []line
@@ -54,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		pictures = append(pictures, picture{p.title, base64.StdEncoding.EncodeToString(png)})
+		images = append(images, plotImage{p.title, base64.StdEncoding.EncodeToString(png)})
 	}
 	var page bytes.Buffer
 	err := reportPage.Execute(&page, struct {
@@ -62,9 +62,9 @@
 		Summary    Summary
 		Upgrade    UpgradeSummary
 		Violations []Violation
-		Plots      []picture
+		Plots      []plotImage
 		Plan       []Step
-	}{h.Seed, Summarize(h), SummarizeUpgrade(h), violations, pictures, h.Plan})
+	}{h.Seed, Summarize(h), SummarizeUpgrade(h), violations, images, h.Plan})
 	if err != nil {
 		return err
 	}
@@ -105,11 +105,11 @@
 		case q.Status == http.StatusServiceUnavailable:
 			i = 1
 		}
-		counts[i][int(q.Ended/bin)]++
+		counts[i][int(q.Ended/plotBin)]++
 	}
 	for i := range lines {
-		for n := range int(h.Length/bin) + 1 {
-			lines[i].points = append(lines[i].points, plotter.XY{X: (time.Duration(n) * bin).Seconds(), Y: float64(counts[i][n]) / bin.Seconds()})
+		for n := range int(h.Length/plotBin) + 1 {
+			lines[i].points = append(lines[i].points, plotter.XY{X: (time.Duration(n) * plotBin).Seconds(), Y: float64(counts[i][n]) / plotBin.Seconds()})
 		}
 	}
 	return lines
@@ -117,23 +117,23 @@
 
 // latencyLines gives the median and the 95th percentile of served requests.
 func latencyLines(h *History, kinds ...RequestKind) []line {
-	taken := map[int][]float64{}
+	latencies := map[int][]float64{}
 	for _, q := range h.Requests {
 		for _, k := range kinds {
 			if q.Kind == k && q.Status == http.StatusOK && !q.Cut && q.LeftAt == 0 {
-				n := int(q.Ended / bin)
-				taken[n] = append(taken[n], float64((q.Ended - q.Sent).Milliseconds()))
+				n := int(q.Ended / plotBin)
+				latencies[n] = append(latencies[n], float64((q.Ended - q.Sent).Milliseconds()))
 			}
 		}
 	}
 	median, high := line{name: "median", color: blue}, line{name: "95th percentile", color: red}
-	for n := range int(h.Length/bin) + 1 {
-		list := taken[n]
+	for n := range int(h.Length/plotBin) + 1 {
+		list := latencies[n]
 		if len(list) == 0 {
 			continue
 		}
 		sort.Float64s(list)
-		x := (time.Duration(n) * bin).Seconds()
+		x := (time.Duration(n) * plotBin).Seconds()
 		median.points = append(median.points, plotter.XY{X: x, Y: list[len(list)/2]})
 		high.points = append(high.points, plotter.XY{X: x, Y: list[len(list)*95/100]})
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -39,47 +39,47 @@
 	plan, order, path := o.plan()
 	rec := &recorder{start: time.Now()}
 	rec.h = History{Seed: o.Seed, Length: o.Length, Shape: o.Shape, Plan: plan, Order: order, Path: path, MostHeld: map[string]int64{}, LeftHeld: map[string]int64{}}
-	s, err := newSite(o, rec)
+	cl, err := newCluster(o, rec)
 	if err != nil {
 		return nil, err
 	}
-	defer s.close()
-	background, stop := context.WithCancel(ctx)
+	defer cl.close()
+	backgroundCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	ops := &operators{site: s, rec: rec}
-	wg.Go(func() { s.beats(background) })
-	ops.change(ctx, appService)
-	if err := s.awaitReady(ctx, ops); err != nil {
+	ops := &operators{cluster: cl, rec: rec}
+	wg.Go(func() { cl.sendHeartbeats(backgroundCtx) })
+	ops.putTable(ctx, appService)
+	if err := cl.awaitReady(ctx, ops); err != nil {
 		return nil, err
 	}
-	rec.add(func(*History) { rec.start = time.Now() })
-	s.started.Store(o.Production == "") // a build that is replaced may know no cold servers
-	rec.add(func(h *History) { h.Puts[0].Sent, h.Puts[0].Ended = 0, 0 })
+	rec.update(func(*History) { rec.start = time.Now() })
+	cl.marksCold.Store(o.Production == "") // a build that is replaced may know no cold servers
+	rec.update(func(h *History) { h.Puts[0].Sent, h.Puts[0].Ended = 0, 0 })
 
-	loaded, endLoad := context.WithTimeout(ctx, o.Length)
-	defer endLoad()
-	l := newLoad(s, rec, o.Seed)
+	loadCtx, cancelLoad := context.WithTimeout(ctx, o.Length)
+	defer cancelLoad()
+	l := newLoad(cl, rec, o.Seed)
 	if !o.PlainTexts {
-		l.texts = oddTexts
+		l.textMarker = oddTextMarker
 	}
-	wg.Go(func() { ops.reads(background) })
-	wg.Go(func() { ops.probe(background) })
-	wg.Go(func() { s.watch(background) })
-	wg.Go(func() { s.badReports(loaded, o.Seed) })
-	l.wg.Go(func() { l.deadly(loaded, o.Seed) })
-	f := &faults{site: s, rec: rec, load: l, ops: ops}
-	wg.Go(func() { f.play(loaded, plan) })
-	l.run(loaded)
+	wg.Go(func() { ops.readTables(backgroundCtx) })
+	wg.Go(func() { ops.probeGateways(backgroundCtx) })
+	wg.Go(func() { cl.watchAll(backgroundCtx) })
+	wg.Go(func() { cl.sendBadReports(loadCtx, o.Seed) })
+	l.wg.Go(func() { l.sendDeadly(loadCtx, o.Seed) })
+	f := &faultInjector{cluster: cl, rec: rec, load: l, ops: ops}
+	wg.Go(func() { f.run(loadCtx, plan) })
+	l.run(loadCtx)
 	f.wg.Wait()
-	s.readBack(ctx, ops)
-	s.settle(ctx)
+	cl.readFinalTable(ctx, ops)
+	cl.awaitRelease(ctx)
 	stop()
 	wg.Wait()
-	s.collect()
-	if err := s.countRefusals(); err != nil {
+	cl.collectArrivals()
+	if err := cl.countRefusals(); err != nil {
 		return nil, err
 	}
 	return &rec.h, ctx.Err()
@@ -110,21 +110,21 @@
 }
 
 // startTime is how long a deployment may take to serve.
-const startTime = 20 * time.Second
+const startTimeout = 20 * time.Second
 
 // awaitReady waits until each gateway calls itself ready and knows servers.
-func (s *site) awaitReady(ctx context.Context, ops *operators) error {
-	for end := time.Now().Add(startTime); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
+func (cl *cluster) awaitReady(ctx context.Context, ops *operators) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
 		ready := 0
-		for n := range s.front {
-			if status, _, err := s.call(ctx, http.MethodGet, "http://"+s.ready[n]+"/-/ready", ""); err != nil || status != http.StatusOK {
+		for n := range cl.callerAddresses {
+			if status, _, err := cl.call(ctx, http.MethodGet, "http://"+cl.readinessAddresses[n]+"/-/ready", ""); err != nil || status != http.StatusOK {
 				continue
 			}
-			if ops.show(ctx, n, 1) == http.StatusOK {
+			if ops.probeStatus(ctx, n, 1) == http.StatusOK {
 				ready++
 			}
 		}
-		if ready == len(s.front) {
+		if ready == len(cl.callerAddresses) {
 			return nil
 		}
 	}
@@ -132,10 +132,10 @@
 }
 
 // readBack reads the table until a replica of control answers.
-func (s *site) readBack(ctx context.Context, ops *operators) {
-	for end := time.Now().Add(startTime); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		for n := range s.api {
-			if ops.read(ctx, n).Status == http.StatusOK {
+func (cl *cluster) readFinalTable(ctx context.Context, ops *operators) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
+		for n := range cl.apiAddresses {
+			if ops.readTable(ctx, n).Status == http.StatusOK {
 				return
 			}
 		}
@@ -143,81 +143,81 @@
 }
 
 // settleTime is how long engines may hold memory after the last request.
-const settleTime = 2 * time.Second
+const settleTimeout = 2 * time.Second
 
 // settle waits until engines and gateways hold nothing any more, and notes what they do.
-func (s *site) settle(ctx context.Context) {
-	for n := range s.front {
-		s.settleGateway(ctx, n)
+func (cl *cluster) awaitRelease(ctx context.Context) {
+	for n := range cl.callerAddresses {
+		cl.awaitGatewayRelease(ctx, n)
 	}
-	for end := time.Now().Add(settleTime); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		held, holds := s.held()
+	for end := time.Now().Add(settleTimeout); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
+		held, holds := cl.heldMemory()
 		if len(held)+holds == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			s.rec.add(func(h *History) { h.HeldKV, h.HeldRoom = held, holds })
+			cl.rec.update(func(h *History) { h.HeldKV, h.HeldRoom = held, holds })
 			return
 		}
 	}
 }
 
-func (s *site) settleGateway(ctx context.Context, n int) {
-	for end := time.Now().Add(settleTime); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		held, ok := s.heldBytes(ctx, n)
+func (cl *cluster) awaitGatewayRelease(ctx context.Context, n int) {
+	for end := time.Now().Add(settleTimeout); ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
+		held, ok := cl.heldBytes(ctx, n)
 		if ok && held == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			s.rec.add(func(h *History) { h.LeftHeld[gatewayName(n)] = held })
+			cl.rec.update(func(h *History) { h.LeftHeld[gatewayName(n)] = held })
 			return
 		}
 	}
 }
 
 // held returns the KV caches and holds at the servers that are there.
-func (s *site) held() (kv []HeldKV, holds int) {
-	for _, v := range s.servers {
-		b, _ := v.now()
+func (cl *cluster) heldMemory() (kv []HeldKV, holds int) {
+	for _, srv := range cl.servers {
+		b, _ := srv.current()
 		n, _ := b.Holds()
 		holds += n
-		for _, k := range s.group.HeldAt(b) {
-			kv = append(kv, HeldKV{Request: k.Request, MadeAt: k.Made.Sub(s.rec.start)})
+		for _, k := range cl.group.HeldAt(b) {
+			kv = append(kv, HeldKV{Request: k.Request, MadeAt: k.Made.Sub(cl.rec.start)})
 		}
 	}
 	return kv, holds
 }
 
 // collect takes what the servers saw into the history.
-func (s *site) collect() {
-	s.pastMu.Lock()
-	defer s.pastMu.Unlock()
-	s.rec.add(func(h *History) {
-		for _, b := range s.past {
+func (cl *cluster) collectArrivals() {
+	cl.backendsMu.Lock()
+	defer cl.backendsMu.Unlock()
+	cl.rec.update(func(h *History) {
+		for _, b := range cl.backends {
 			service := engineService
 			if b.CurrentRole() == "" {
 				service = appService
 			}
 			for _, a := range b.Arrivals() {
-				h.Arrivals = append(h.Arrivals, s.arrival(b, service, a))
+				h.Arrivals = append(h.Arrivals, cl.newArrival(b, service, a))
 			}
 			for _, l := range b.Limited() {
-				h.Limited = append(h.Limited, LimitedArrival{Server: b.ID, ID: l.ID, Path: l.Path, Named: len(l.Named) > 0, At: l.At.Sub(s.rec.start)})
+				h.Limited = append(h.Limited, LimitedArrival{Server: b.ID, ID: l.ID, Path: l.Path, Named: len(l.Named) > 0, At: l.At.Sub(cl.rec.start)})
 			}
 			for _, a := range b.Asked() {
-				h.Asked = append(h.Asked, s.askedArrival(b, a))
+				h.Asked = append(h.Asked, cl.newSelfReportArrival(b, a))
 			}
 			for _, o := range b.Orders() {
-				h.Orders = append(h.Orders, RoleOrder{Server: b.ID, Holder: o.Holder, Fence: o.Fence, At: o.At.Sub(s.rec.start)})
+				h.Orders = append(h.Orders, RoleOrder{Server: b.ID, Holder: o.Holder, Fence: o.Fence, At: o.At.Sub(cl.rec.start)})
 			}
 		}
 	})
 }
 
-func (s *site) arrival(b *standin.Backend, service string, a standin.Arrival) Arrival {
-	out := Arrival{Arrival: a, Server: b.ID, Service: service, Zone: s.zoneOf[b.ID], At: a.At.Sub(s.rec.start)}
+func (cl *cluster) newArrival(b *standin.Backend, service string, a standin.Arrival) Arrival {
+	out := Arrival{Arrival: a, Server: b.ID, Service: service, Zone: cl.zones[b.ID], At: a.At.Sub(cl.rec.start)}
 	if !a.Ended.IsZero() {
-		out.Ended = a.Ended.Sub(s.rec.start)
+		out.Ended = a.Ended.Sub(cl.rec.start)
 	}
 	return out
 }
--- a/soak/slow.go
+++ b/soak/slow_readers.go
@@ -15,23 +15,23 @@
 
 // Callers who read large answers slowly, and what gateways may hold for callers.
 const (
-	slowReaders = 30
-	largeAnswer = 1 << 20
+	slowReaderCount  = 30
+	largeAnswerBytes = 1 << 20
 	// gatewayMemory is that of a gateway's process in MB: less than the slow readers of two
 	// steps want.
-	gatewayMemory = 48
+	gatewayMemoryMB = 48
 	// heldMost is the part of it that is for callers, as the settings have it if they say
 	// nothing.
-	heldMost = gatewayMemory * 1000 * 1000 * 4 / 10
+	maxHeldBytes = gatewayMemoryMB * 1000 * 1000 * 4 / 10
 	// slowestServer is the longest pause in the middle of a server's answers.
-	slowestServer = 1200 * time.Millisecond
+	maxServerPause = 1200 * time.Millisecond
 )
 
 // slowSteps draws when callers and servers are slow, by a draw of its own.
 func slowSteps(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 11))
 	var out []Step
-	for at := calmStart; at < length-calmEnd; at += time.Duration(float64(5*time.Second) * r.Float64()) {
+	for at := faultFreeStart; at < length-faultFreeEnd; at += time.Duration(float64(5*time.Second) * r.Float64()) {
 		s := Step{At: at, For: time.Duration((0.5 + 2*r.Float64()) * float64(time.Second)), Seed: r.Uint64()}
 		s.Kind, s.Target = SlowReaders, r.IntN(shape.Gateways)
 		if r.IntN(3) == 0 {
@@ -43,36 +43,36 @@
 }
 
 // slowServer has a plain server pause in the middle of its answers for a time.
-func (f *faults) slowServer(ctx context.Context, step Step) {
-	b, _ := f.site.servers[step.Target].now()
+func (f *faultInjector) slowServer(ctx context.Context, step Step) {
+	b, _ := f.cluster.servers[step.Target].current()
 	r := rand.New(rand.NewPCG(step.Seed, 12))
-	b.SetSlow(time.Duration(r.Float64() * float64(slowestServer)))
+	b.SetSlow(time.Duration(r.Float64() * float64(maxServerPause)))
 	sleep(ctx, step.For)
 	b.SetSlow(0)
 }
 
 // slowCallers has callers ask a gateway for large answers, read some of them or nothing, and
 // leave.
-func (f *faults) slowCallers(ctx context.Context, step Step) {
-	if f.load.out[step.Target].Load() {
+func (f *faultInjector) runSlowReaders(ctx context.Context, step Step) {
+	if f.load.excluded[step.Target].Load() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, step.For)
 	defer cancel()
 	r := rand.New(rand.NewPCG(step.Seed, 13))
-	for i := range slowReaders {
-		q := Request{ID: fmt.Sprintf("slow-%x-%d", step.Seed, i), Kind: Rates, Gateway: step.Target, Organisation: "one", Content: standin.Large(largeAnswer)}
+	for i := range slowReaderCount {
+		q := Request{ID: fmt.Sprintf("slow-%x-%d", step.Seed, i), Kind: Rates, Gateway: step.Target, Organisation: "one", Content: standin.Large(largeAnswerBytes)}
 		pause := time.Duration(r.IntN(3)) * 50 * time.Millisecond // zero reads nothing
-		f.load.wg.Go(func() { f.load.slowly(ctx, q, pause) })
+		f.load.wg.Go(func() { f.load.runSlowReader(ctx, q, pause) })
 	}
 	<-ctx.Done()
 }
 
 // slowly plays one caller who reads slowly until the context ends, and leaves then.
-func (l *load) slowly(ctx context.Context, q Request, pause time.Duration) {
+func (l *load) runSlowReader(ctx context.Context, q Request, pause time.Duration) {
 	q.Sent = l.rec.now()
-	status, body, err := l.askSlowly(ctx, &q, pause)
-	l.rec.add(func(h *History) {
+	status, body, err := l.readSlowly(ctx, &q, pause)
+	l.rec.update(func(h *History) {
 		q.Ended, q.Status, q.Body, q.Cut = l.rec.now(), status, body, err != nil
 		if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 			q.LeftAt = q.Ended
@@ -81,12 +81,12 @@
 	})
 }
 
-func (l *load) askSlowly(ctx context.Context, q *Request, pause time.Duration) (int, string, error) {
-	req, err := l.request(ctx, q, deadlines[q.Kind])
+func (l *load) readSlowly(ctx context.Context, q *Request, pause time.Duration) (int, string, error) {
+	req, err := l.newRequest(ctx, q, deadlines[q.Kind])
 	if err != nil {
 		return 0, "", err
 	}
-	resp, err := newConnections(smallWindow).Do(req)
+	resp, err := newUnpooledClient(slowReaderBuffer).Do(req)
 	if err != nil {
 		return 0, "", err
 	}
@@ -111,10 +111,10 @@
 }
 
 // heldBytes returns what a gateway says that it holds for callers.
-func (s *site) heldBytes(ctx context.Context, n int) (int64, bool) {
-	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+func (cl *cluster) heldBytes(ctx context.Context, n int) (int64, bool) {
+	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
-	status, body, err := s.call(ctx, http.MethodGet, "http://"+s.processes[gatewayName(n)].operators+"/v1/dump", "")
+	status, body, err := cl.call(ctx, http.MethodGet, "http://"+cl.processes[gatewayName(n)].operators+"/v1/dump", "")
 	var roles map[string]struct {
 		Held int64 `json:"held_bytes"`
 	}
@@ -129,22 +129,22 @@
 }
 
 // watchHeld notes the most that a gateway holds for callers, until the context ends.
-func (s *site) watchHeld(ctx context.Context, n int) {
+func (cl *cluster) watchHeld(ctx context.Context, n int) {
 	name := gatewayName(n)
-	for ; ctx.Err() == nil; sleep(ctx, watchEvery) {
-		if held, ok := s.heldBytes(ctx, n); ok {
-			s.rec.add(func(h *History) { h.MostHeld[name] = max(h.MostHeld[name], held) })
+	for ; ctx.Err() == nil; sleep(ctx, pollInterval) {
+		if held, ok := cl.heldBytes(ctx, n); ok {
+			cl.rec.update(func(h *History) { h.MostHeld[name] = max(h.MostHeld[name], held) })
 		}
 	}
 }
 
 // checkHeld wants gateways to hold no more for callers than they may, and nothing when all
 // requests have ended.
-func checkHeld(h *History) []string {
+func checkHeldBytes(h *History) []string {
 	var out []string
 	for name, held := range h.MostHeld {
-		if held > heldMost {
-			out = append(out, fmt.Sprintf("%s held %d bytes for callers, allowed %d", name, held, heldMost))
+		if held > maxHeldBytes {
+			out = append(out, fmt.Sprintf("%s held %d bytes for callers, allowed %d", name, held, maxHeldBytes))
 		}
 	}
 	for name, held := range h.LeftHeld {
--- a/soak/upgrade_plan.go
+++ b/soak/upgrade_plan.go
@@ -13,31 +13,31 @@
 	controlFirst  = "control first"
 	leaderFirst   = "leader first"
 	leaderLast    = "leader last"
-	atRandom      = "at random"
+	randomOrder   = "at random"
 )
 
 // Orders are the orders in which processes are replaced. A run has one zone, in which zone by
 // zone is at random.
-var UpgradeOrders = []string{gatewaysFirst, controlFirst, leaderFirst, leaderLast, atRandom}
+var UpgradeOrders = []string{gatewaysFirst, controlFirst, leaderFirst, leaderLast, randomOrder}
 
 // Paths that an upgrade takes.
 const (
-	wholePath  = "whole"
-	halfPath   = "half-way"
-	backPath   = "back"
-	againPath  = "back and forth again"
-	leaderName = "leader"
+	fullPath      = "whole"
+	partialPath   = "half-way"
+	downgradePath = "back"
+	repeatPath    = "back and forth again"
+	leaderName    = "leader"
 	// followerName is a replica that does not lead, if there is one to replace.
 	followerName = "follower"
 )
 
 // Paths are the paths that an upgrade takes.
-var UpgradePaths = []string{wholePath, halfPath, backPath, againPath}
+var UpgradePaths = []string{fullPath, partialPath, downgradePath, repeatPath}
 
 // Shares of what befalls the replacing of a process.
 const (
-	emptyShare = 0.25
-	hitShare   = 0.15
+	emptyDiskShare = 0.25
+	killShare      = 0.15
 )
 
 // NewUpgrade draws how processes are replaced by the other build. Order and path go round
@@ -46,29 +46,29 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	order = UpgradeOrders[seed%uint64(len(UpgradeOrders))]
 	path = UpgradePaths[seed/uint64(len(UpgradeOrders))%uint64(len(UpgradePaths))]
-	d := upgradeDraw{rng: r, shape: shape, order: order}
+	d := upgradePlanner{rng: r, shape: shape, order: order}
 	all := d.processes()
-	part := all[:1+r.IntN(len(all)-1)]
+	subset := all[:1+r.IntN(len(all)-1)]
 	switch path {
-	case wholePath:
-		d.leg(Upgrade, all)
-	case halfPath:
-		d.leg(Upgrade, part)
-	case backPath:
-		part = all[:1+r.IntN(len(all))]
-		d.leg(Upgrade, part)
-		d.leg(Downgrade, d.shuffled(part))
-	case againPath:
-		part = all[:1+r.IntN(len(all)/2)]
-		d.leg(Upgrade, part)
-		d.leg(Downgrade, d.shuffled(part))
-		d.leg(Upgrade, all)
+	case fullPath:
+		d.addPhase(Upgrade, all)
+	case partialPath:
+		d.addPhase(Upgrade, subset)
+	case downgradePath:
+		subset = all[:1+r.IntN(len(all))]
+		d.addPhase(Upgrade, subset)
+		d.addPhase(Downgrade, d.shuffled(subset))
+	case repeatPath:
+		subset = all[:1+r.IntN(len(all)/2)]
+		d.addPhase(Upgrade, subset)
+		d.addPhase(Downgrade, d.shuffled(subset))
+		d.addPhase(Upgrade, all)
 	}
 	return order, path, d.steps
 }
 
 // upgradeDraw draws the steps of an upgrade.
-type upgradeDraw struct {
+type upgradePlanner struct {
 	rng   *rand.Rand
 	shape Shape
 	order string
@@ -77,7 +77,7 @@
 }
 
 // processes are all processes in the order in which they are replaced.
-func (d *upgradeDraw) processes() []string {
+func (d *upgradePlanner) processes() []string {
 	var gateways, controls []string
 	for n := range d.shape.Gateways {
 		gateways = append(gateways, gatewayName(n))
@@ -102,7 +102,7 @@
 	return d.shuffled(append(gateways, controls...))
 }
 
-func (d *upgradeDraw) shuffled(list []string) []string {
+func (d *upgradePlanner) shuffled(list []string) []string {
 	out := slices.Clone(list)
 	d.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
@@ -110,26 +110,26 @@
 
 // leg adds the steps that bring some processes to one build. At most half of the gateways,
 // rounded up, are replaced at once.
-func (d *upgradeDraw) leg(kind Kind, list []string) {
+func (d *upgradePlanner) addPhase(kind Kind, list []string) {
 	d.wave++
-	inWave := 0
+	gatewaysInWave := 0
 	pause := time.Duration(d.rng.Float64() * float64(2*time.Second))
 	for i, name := range list {
 		isGateway := strings.HasPrefix(name, gatewayPrefix)
-		strict := d.order == gatewaysFirst || d.order == controlFirst
-		turns := strict && i > 0 && isGateway != strings.HasPrefix(list[i-1], gatewayPrefix)
-		if turns || isGateway && inWave == (d.shape.Gateways+1)/2 {
+		grouped := d.order == gatewaysFirst || d.order == controlFirst
+		groupEnds := grouped && i > 0 && isGateway != strings.HasPrefix(list[i-1], gatewayPrefix)
+		if groupEnds || isGateway && gatewaysInWave == (d.shape.Gateways+1)/2 {
 			d.wave++
-			inWave = 0
+			gatewaysInWave = 0
 		}
-		s := Step{At: calmStart, Kind: kind, Process: name, Wave: d.wave, For: pause + time.Duration(d.rng.Float64()*float64(800*time.Millisecond))}
+		s := Step{At: faultFreeStart, Kind: kind, Process: name, Wave: d.wave, For: pause + time.Duration(d.rng.Float64()*float64(800*time.Millisecond))}
 		if isGateway {
-			inWave++
+			gatewaysInWave++
 		} else {
-			s.Empty = d.rng.Float64() < emptyShare
+			s.Empty = d.rng.Float64() < emptyDiskShare
 		}
-		if d.rng.Float64() < hitShare {
-			s.KillAfter = time.Millisecond + time.Duration(d.rng.Float64()*float64(hitWithin(isGateway)))
+		if d.rng.Float64() < killShare {
+			s.KillAfter = time.Millisecond + time.Duration(d.rng.Float64()*float64(maxKillDelay(isGateway)))
 		}
 		pause = 0
 		d.steps = append(d.steps, s)
@@ -137,7 +137,7 @@
 }
 
 // hitWithin is the time in which a process is replaced, stop and start.
-func hitWithin(isGateway bool) time.Duration {
+func maxKillDelay(isGateway bool) time.Duration {
 	if isGateway {
 		return 6 * time.Second
 	}
--- a/soak/upgrade_summary.go
+++ b/soak/upgrade_summary.go
@@ -44,7 +44,7 @@
 		u.LongestNoTable = max(u.LongestNoTable, g.To-g.From)
 	}
 	for _, c := range h.cuts() {
-		if c.excused {
+		if c.duringFault {
 			u.CutDuringFaults++
 		} else {
 			u.Cut++
@@ -63,7 +63,7 @@
 func ServedShare(h *History, from, to time.Duration) (share float64, requests int) {
 	served := 0
 	for _, q := range h.Requests {
-		if q.Sent < from || q.Sent > to || q.LeftAt > 0 || q.Organisation == "hot" || q.Organisation == unknown {
+		if q.Sent < from || q.Sent > to || q.LeftAt > 0 || q.Organisation == "hot" || q.Organisation == unknownOrganisation {
 			continue
 		}
 		requests++
--- a/soak/watch.go
+++ b/soak/watch.go
@@ -14,94 +14,94 @@
 
 const (
 	// watchEvery is how often processes are asked what they have.
-	watchEvery = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 	// tableMissing is what a gateway says that has no table.
-	tableMissing = "no routing table"
+	noTableReason = "no routing table"
 )
 
 // watch notes in which times gateways have no table and control has no leader, until the
 // context ends.
-func (s *site) watch(ctx context.Context) {
+func (cl *cluster) watchAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	for n := range s.front {
-		wg.Go(func() { s.watchTable(ctx, n) })
-		wg.Go(func() { s.watchHeld(ctx, n) })
+	for n := range cl.callerAddresses {
+		wg.Go(func() { cl.watchTable(ctx, n) })
+		wg.Go(func() { cl.watchHeld(ctx, n) })
 	}
-	wg.Go(func() { s.watchLeader(ctx) })
+	wg.Go(func() { cl.watchLeader(ctx) })
 	wg.Wait()
 }
 
 // watchTable notes the times in which a gateway runs without a table. It may have had none
 // since its start, or lose the one that it had.
-func (s *site) watchTable(ctx context.Context, n int) {
+func (cl *cluster) watchTable(ctx context.Context, n int) {
 	name := gatewayName(n)
-	p := s.processes[name]
-	since := func(t time.Time) time.Duration { return max(t.Sub(s.rec.start), 0) }
-	var open *Gap
+	p := cl.processes[name]
+	since := func(t time.Time) time.Duration { return max(t.Sub(cl.rec.start), 0) }
+	var gap *Gap
 	end := func(at time.Duration) {
-		if open != nil && at > open.From {
-			open.To = at
-			gap := *open
-			s.rec.add(func(h *History) { h.NoTable = append(h.NoTable, gap) })
+		if gap != nil && at > gap.From {
+			gap.To = at
+			closed := *gap
+			cl.rec.update(func(h *History) { h.NoTable = append(h.NoTable, closed) })
 		}
-		open = nil
+		gap = nil
 	}
-	start, had, last := 0, false, time.Duration(0)
-	for ; ctx.Err() == nil; sleep(ctx, watchEvery) {
+	start, hadTable, last := 0, false, time.Duration(0)
+	for ; ctx.Err() == nil; sleep(ctx, pollInterval) {
 		number, started, runs := p.state()
 		if number != start {
 			end(since(started))
-			start, had = number, false
-			open = &Gap{Process: name, Incarnation: number, First: true, From: since(started)}
+			start, hadTable = number, false
+			gap = &Gap{Process: name, Incarnation: number, First: true, From: since(started)}
 		}
 		if !runs {
-			end(s.rec.now())
+			end(cl.rec.now())
 			continue
 		}
-		at := s.rec.now()
-		status, body, err := s.call(ctx, http.MethodGet, "http://"+s.ready[n]+"/-/ready", "")
+		at := cl.rec.now()
+		status, body, err := cl.call(ctx, http.MethodGet, "http://"+cl.readinessAddresses[n]+"/-/ready", "")
 		switch {
 		case err != nil:
 		case status == http.StatusOK:
 			end(at)
-			had, last = true, at
-		case strings.Contains(body, tableMissing):
-			if open == nil {
-				open = &Gap{Process: name, Incarnation: number, First: !had, From: last}
+			hadTable, last = true, at
+		case strings.Contains(body, noTableReason):
+			if gap == nil {
+				gap = &Gap{Process: name, Incarnation: number, First: !hadTable, From: last}
 			}
 		default: // it is told to stop
 			end(at)
 		}
 	}
-	end(s.rec.now())
+	end(cl.rec.now())
 }
 
 // watchLeader notes the times in which no replica of control leads with a live lease.
-func (s *site) watchLeader(ctx context.Context) {
-	last, missing := s.rec.now(), false
-	for ; ctx.Err() == nil; sleep(ctx, watchEvery) {
-		at := s.rec.now()
-		if !s.led(ctx) {
+func (cl *cluster) watchLeader(ctx context.Context) {
+	last, missing := cl.rec.now(), false
+	for ; ctx.Err() == nil; sleep(ctx, pollInterval) {
+		at := cl.rec.now()
+		if !cl.hasLeader(ctx) {
 			missing = true
 			continue
 		}
 		if missing {
-			s.rec.add(func(h *History) { h.NoLeader = append(h.NoLeader, Gap{From: last, To: at}) })
+			cl.rec.update(func(h *History) { h.NoLeader = append(h.NoLeader, Gap{From: last, To: at}) })
 		}
 		last, missing = at, false
 	}
 	if missing {
-		s.rec.add(func(h *History) { h.NoLeader = append(h.NoLeader, Gap{From: last, To: s.rec.now()}) })
+		cl.rec.update(func(h *History) { h.NoLeader = append(h.NoLeader, Gap{From: last, To: cl.rec.now()}) })
 	}
 }
 
 // led tells whether any replica leads.
-func (s *site) led(ctx context.Context) bool {
-	leads := make([]bool, len(s.api))
+func (cl *cluster) hasLeader(ctx context.Context) bool {
+	leads := make([]bool, len(cl.apiAddresses))
 	var wg sync.WaitGroup
-	for n := range s.api {
+	for n := range cl.apiAddresses {
 		wg.Go(func() {
-			c, ok := s.control(ctx, controlName(n))
+			c, ok := cl.dumpControl(ctx, controlName(n))
 			leads[n] = ok && c.Log.Lease
 		})
 	}
@@ -122,13 +122,13 @@
 }
 
 // controlTimeout is how long a replica may take to say it; one that is paused doesn't.
-const controlTimeout = 300 * time.Millisecond
+const dumpTimeout = 300 * time.Millisecond
 
 // control asks a replica for its state.
-func (s *site) control(ctx context.Context, name string) (controlState, bool) {
-	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+func (cl *cluster) dumpControl(ctx context.Context, name string) (controlState, bool) {
+	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
-	status, body, err := s.call(ctx, http.MethodGet, "http://"+s.processes[name].operators+"/v1/dump", "")
+	status, body, err := cl.call(ctx, http.MethodGet, "http://"+cl.processes[name].operators+"/v1/dump", "")
 	var roles map[string]controlState
 	if err != nil || status != http.StatusOK || json.Unmarshal([]byte(body), &roles) != nil {
 		return controlState{}, false
@@ -140,9 +140,9 @@
 }
 
 // awaitMember waits until a replica is a voter that has heard of a leader.
-func (s *site) awaitMember(ctx context.Context, name string) {
-	for end := time.Now().Add(memberTime); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, watchEvery) {
-		if c, ok := s.control(ctx, name); ok && c.Log.Leader != "" && slices.Contains(c.Log.Members.Voters, c.ID) {
+func (cl *cluster) awaitMember(ctx context.Context, name string) {
+	for end := time.Now().Add(memberTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, pollInterval) {
+		if c, ok := cl.dumpControl(ctx, name); ok && c.Log.Leader != "" && slices.Contains(c.Log.Members.Voters, c.ID) {
 			return
 		}
 	}
@@ -153,15 +153,15 @@
 
 // refuses tells whether a line of a log tells of a refused link. That a peer has gone before
 // its hello came is told by the same event, with the code of a lost link.
-func refuses(line string) bool {
+func reportsRefusal(line string) bool {
 	return !strings.Contains(line, `"code":"link_lost"`) &&
 		slices.ContainsFunc(refusalMarks, func(mark string) bool { return strings.Contains(line, mark) })
 }
 
 // countRefusals counts in all logs the lines that tell of refused links.
-func (s *site) countRefusals() error {
+func (cl *cluster) countRefusals() error {
 	var all []Refusal
-	for name, p := range s.processes {
+	for name, p := range cl.processes {
 		log, err := os.Open(p.logPath)
 		if err != nil {
 			return err
@@ -170,7 +170,7 @@
 		lines := bufio.NewScanner(log)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			if refuses(lines.Text()) {
+			if reportsRefusal(lines.Text()) {
 				if r.Count++; r.Count == 1 {
 					r.First = lines.Text()
 				}
@@ -185,6 +185,6 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b Refusal) int { return strings.Compare(a.Process, b.Process) })
-	s.rec.add(func(h *History) { h.Refusals = all })
+	cl.rec.update(func(h *History) { h.Refusals = all })
 	return nil
 }
