--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays seeded runs of a small deployment of real ledgepin
-// processes with faults made from outside, and checks what must always hold.
+// Command soak runs a small deployment of real ledgepin processes under load and injected faults,
+// by seed, and checks the rules of package soak.
 //
 //	go build -o ledgepin ./cmd/ledgepin
 //	go run ./cmd/soak --binary ./ledgepin --seeds 50 --length 30s --keep finds
@@ -48,7 +48,7 @@
 		return
 	}
 	if o.Paired && o.Production == "" {
-		fmt.Fprintln(os.Stderr, "soak: --paired wants --production")
+		fmt.Fprintln(os.Stderr, "soak: --paired requires --production")
 		os.Exit(1)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -83,7 +83,7 @@
 	}
 }
 
-// playAll plays all seeds; a rule that is broken is an error.
+// playAll plays all seeds. It returns an error if a run breaks a rule.
 func playAll(ctx context.Context, o options, shape soak.Shape) error {
 	if o.Production != "" {
 		binary, remove, err := buildCommit(ctx, ".", o.Production)
@@ -133,9 +133,8 @@
 	return nil
 }
 
-// pair plays the seed of a run once more without an upgrade, and prints the share of served
-// requests of both beside each other, in the time that the upgrade took and in all. It
-// returns one if the second run breaks a rule.
+// playPaired repeats a run without an upgrade and prints the share of served requests of both runs,
+// during the upgrade and in total. It returns 1 if the repeated run breaks a rule.
 func playPaired(ctx context.Context, o options, shape soak.Shape, upgraded *soak.History) (broken int, err error) {
 	h, violations, err := play(ctx, o, shape, upgraded.Seed, true)
 	if err != nil {
@@ -154,8 +153,8 @@
 	return min(len(violations), 1), nil
 }
 
-// play plays one seed, and keeps what was seen if a rule was broken. If stay is set nothing
-// is replaced.
+// play plays one seed and keeps its history and logs if a rule is broken. With noUpgrade, no
+// process is replaced.
 func play(ctx context.Context, o options, shape soak.Shape, seed uint64, noUpgrade bool) (*soak.History, []soak.Violation, error) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
--- a/soak/bad_reports.go
+++ b/soak/bad_reports.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// badReportEvery is the time between two reports that can't be read.
+// badReportInterval is the time between two invalid reports.
 const badReportInterval = 150 * time.Millisecond
 
-// spoilt are ways in which a report about a server can't be read, or is another server's:
-// what stands in the place of what.
+// unreadableEdits are pairs of a text in a server's report and its replacement. Each makes the
+// report unreadable or invalid.
 var unreadableEdits = [][2]string{
 	{`"state":"ready"`, `"state":"odd"`}, {`"slots":16`, `"slots":"many"`}, {`"slots":16`, `"slots":1e300`}, {`"zone":`, `"place":`}, {`"version":"v1",`, ``},
 	{`"service":`, "\"serv\xff\":"}, {`"sequence":`, `"sequence":-`}, {`"born":`, `"born":-`}, {`"born":`, `"born":1.`}, {`"address":"127`, `"address":"nowhere-127`},
 	{`}`, ``}, {`{`, `[{`}, {`"coldRemainingMs":`, `"coldRemainingMs":null,"was":`},
 }
 
-// foreign are ways in which a report can be read and is another server's. A replica that does
-// not know the server yet can't tell.
+// foreignEdits are pairs like unreadableEdits. The changed report is valid but describes another
+// server, which a replica that does not know the server yet can't detect.
 var foreignEdits = [][2]string{{`"address":"127.0.0.1`, `"address":"127.0.0.9`}, {`"service":"`, `"service":"other-`}}
 
-// badReports sends reports about the servers that can't be read, or that another writer must have
-// written, until the context ends.
+// sendBadReports sends reports that are unreadable, or that another server must have written, until
+// the context ends.
 func (cl *cluster) sendBadReports(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	for ; ctx.Err() == nil; sleep(ctx, badReportInterval) {
@@ -40,11 +40,11 @@
 	}
 }
 
-// deadlyEvery is the time between two tries of a caller whose request ends servers.
+// deadlyInterval is the time between two requests that crash the server that runs them.
 const deadlyInterval = 450 * time.Millisecond
 
-// deadly sends a request that ends each server which runs it, again and again, under
-// another ID and through any gateway.
+// sendDeadly sends requests that crash each server that runs them, each under a new ID and through
+// any gateway, until the context ends.
 func (l *load) sendDeadly(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 4))
 	sleep(ctx, faultFreeStart)
--- a/soak/check.go
+++ b/soak/check.go
@@ -9,41 +9,40 @@
 	"time"
 )
 
-// Bounds of the rules. They leave room for a machine that is shared.
+// Bounds of the rules. They allow for the delays of a shared machine.
 const (
-	// drainBound is how long after its report a leaving server may get new work.
+	// drainBound is how long a leaving server may receive new work after its report.
 	drainBound = 2500 * time.Millisecond
-	// goneBound is how long work may go on for a caller that has left.
+	// disconnectBound is how long work may continue after its caller disconnected.
 	disconnectBound = 1500 * time.Millisecond
-	// forceBound is how long after its acknowledgement a table may not be in
-	// force at a gateway that is in touch.
+	// inForceBound is the time after its acknowledgement by which a table must be in force at a
+	// connected gateway.
 	inForceBound = 2500 * time.Millisecond
-	// touchTime is how long a process must have been undisturbed to be held to
-	// a bound of time.
+	// undisturbedTime is how long a process must have been undisturbed before time bounds apply to
+	// it.
 	undisturbedTime = 4 * time.Second
-	// crossTime is how long an engine's answer and the end of its connection may
-	// be on their way.
+	// crossingTime is how long an engine's answer and the close of its connection may take to
+	// arrive.
 	crossingTime = 20 * time.Millisecond
-	// overlap is how long a run may go on at an engine after it went on at the
-	// next one.
+	// maxOverlap is how long a run may continue at an engine after it has continued at the next
+	// one.
 	maxOverlap = 400 * time.Millisecond
-	// budgetWindow, budgetRatio and budgetSlack are the retry budget of the
-	// settings that a run uses.
+	// budgetWindow, budgetRatio and budgetSlack are the retry budget in the settings of a run.
 	budgetWindow = 10 * time.Second
 	budgetRatio  = 0.2
 	budgetSlack  = 50
 )
 
-// Violation is a rule that was broken.
+// Violation is a broken rule.
 type Violation struct {
 	Rule   string
 	Detail string
 }
 
-// String describes a violation for people.
+// String returns the rule and the detail as text.
 func (v Violation) String() string { return v.Rule + ": " + v.Detail }
 
-// Check returns the rules that a history breaks.
+// Check returns the violations of all rules in a history.
 func Check(h *History) []Violation {
 	var out []Violation
 	for _, c := range checks {
@@ -54,7 +53,7 @@
 	return out
 }
 
-// checks are the rules, each with the function that looks for breaks.
+// checks are the rules with the functions that find violations.
 var checks = []struct {
 	rule  string
 	check func(h *History) []string
@@ -101,18 +100,18 @@
 		}
 		switch {
 		case stream && !strings.HasPrefix(complete, q.Body):
-			out = append(out, fmt.Sprintf("%s got other events: %.80q", q.ID, q.Body))
+			out = append(out, fmt.Sprintf("%s received other events: %.80q", q.ID, q.Body))
 		case stream && !q.Cut && q.Body != complete:
-			out = append(out, fmt.Sprintf("%s got %d bytes of %d that look whole", q.ID, len(q.Body), len(complete)))
+			out = append(out, fmt.Sprintf("%s received %d bytes of %d that look complete", q.ID, len(q.Body), len(complete)))
 		case !stream && !q.Cut && !strings.HasPrefix(q.Body, "answer to "+q.ID+" by "):
-			out = append(out, fmt.Sprintf("%s got %.80q", q.ID, q.Body))
+			out = append(out, fmt.Sprintf("%s received %.80q", q.ID, q.Body))
 		}
 	}
 	return out
 }
 
-// runs returns the number of times that each request was worked on. A run that
-// goes on at another engine stays one.
+// countRuns returns how often each request was run. A run that continues at another engine counts
+// once.
 func countRuns(h *History) map[string]int {
 	out := map[string]int{}
 	for _, a := range h.Arrivals {
@@ -134,8 +133,7 @@
 	return out
 }
 
-// checkOneEngine looks at runs that went on at another engine: none may go on at
-// both.
+// checkOneEngine checks that a run that continued at another engine stopped at the first one.
 func checkOneEngine(h *History) []string {
 	var out []string
 	for _, next := range h.Arrivals {
@@ -147,14 +145,14 @@
 				continue
 			}
 			if a.Ended == 0 || a.Ended > next.At+maxOverlap {
-				out = append(out, fmt.Sprintf("%s went on at %s at %v, %s worked until %v", a.ID, next.Server, next.At, a.Server, a.Ended))
+				out = append(out, fmt.Sprintf("%s continued at %s at %v, %s worked until %v", a.ID, next.Server, next.At, a.Server, a.Ended))
 			}
 		}
 	}
 	return out
 }
 
-// promises are the answers that say that a request did not run.
+// notRunStatuses are the statuses that promise that a request did not run.
 var notRunStatuses = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
 func checkNotRun(h *History) []string {
@@ -162,7 +160,7 @@
 	n := countRuns(h)
 	for _, q := range h.Requests {
 		if slices.Contains(notRunStatuses, q.Status) && n[q.ID] > 0 {
-			out = append(out, fmt.Sprintf("%s (%s) got %d and ran", q.ID, q.Kind, q.Status))
+			out = append(out, fmt.Sprintf("%s (%s) was answered with status %d but ran", q.ID, q.Kind, q.Status))
 		}
 	}
 	return out
@@ -182,31 +180,30 @@
 			continue
 		}
 		if a.Ended == 0 || a.Ended > q.LeftAt+disconnectBound {
-			out = append(out, fmt.Sprintf("%s left at %v, %s worked until %v", q.ID, q.LeftAt, a.Server, a.Ended))
+			out = append(out, fmt.Sprintf("%s: the caller disconnected at %v, %s worked until %v", q.ID, q.LeftAt, a.Server, a.Ended))
 		}
 	}
 	for _, kv := range h.HeldKV {
 		if q, ok := disconnected[kv.Request]; ok && crossesDisconnect(q.LeftAt, kv.MadeAt) {
 			continue
 		}
-		out = append(out, fmt.Sprintf("the KV cache of %s, made at %v, after the end", kv.Request, kv.MadeAt))
+		out = append(out, fmt.Sprintf("the KV cache of %s, created at %v, is held after the end", kv.Request, kv.MadeAt))
 	}
 	if h.HeldRoom > 0 {
-		out = append(out, fmt.Sprintf("%d holds after the end", h.HeldRoom))
+		out = append(out, fmt.Sprintf("%d holds remain after the end", h.HeldRoom))
 	}
 	return out
 }
 
-// crosses tells whether a KV cache was made just when its caller left: the
-// gateway ends the connection before it has read the name of the KV cache, which
-// it would need to free it, and the engine may have made it already. Such a one
-// lapses by itself.
+// crossesDisconnect reports whether a KV cache was created just as its caller disconnected. The
+// gateway closes the connection before it has read the name of the KV cache, which it needs to free
+// it, and the engine may have created it already. Such a KV cache expires by itself.
 func crossesDisconnect(left, made time.Duration) bool {
 	return made-left < crossingTime && left-made < crossingTime
 }
 
-// disturbed tells whether a process, server or its link was disturbed in the
-// time before a moment, or is about to be.
+// disturbed reports whether a process, a server or its link was disturbed in the time before a
+// moment, or will be shortly after it.
 func (h *History) disturbed(process string, at, before time.Duration) bool {
 	for _, o := range h.Outages {
 		if o.Process == process && o.From <= at+disconnectBound && at-before <= o.To {
@@ -241,8 +238,8 @@
 	return ""
 }
 
-// checkBudget counts what arrived at each service beyond the first of each
-// request, in each window.
+// checkBudget counts, for each service and window, the arrivals beyond the first one of each
+// request.
 func checkBudget(h *History) []string {
 	first := map[string]map[string]bool{}
 	extra := map[string][]time.Duration{}
@@ -253,7 +250,7 @@
 		if a.ID == "" || a.Continues {
 			continue
 		}
-		// The first read of a prompt is no run; each further one counts.
+		// The first prefill of a prompt is not a run; each further one counts.
 		key := a.ID + "/" + a.Header.Get(headers.Role)
 		if first[a.Service] == nil {
 			first[a.Service] = map[string]bool{}
@@ -273,7 +270,7 @@
 			n := countWithin(list[i:], from, from+budgetWindow)
 			callerRequests := max(countWithin(requests[service], from, from+budgetWindow), countWithin(requests[service], from-budgetWindow, from))
 			if allowed := budgetRatio*float64(callerRequests) + budgetSlack; float64(n) > allowed {
-				out = append(out, fmt.Sprintf("%s got %d further arrivals from %v on, %.0f are allowed", service, n, from, allowed))
+				out = append(out, fmt.Sprintf("%s received %d further arrivals from %v on, %.0f are allowed", service, n, from, allowed))
 				break
 			}
 		}
@@ -291,8 +288,8 @@
 	return n
 }
 
-// checkOrders wants one holder for each fence, and no lower fence after a
-// higher one at any engine.
+// checkOrders checks that each fence has one holder, and that no engine receives a lower fence
+// after a higher one.
 func checkOrders(h *History) []string {
 	var out []string
 	holders := map[uint64]string{}
@@ -305,7 +302,7 @@
 		}
 		holders[o.Fence] = o.Holder
 		if o.Fence < highest[o.Server] {
-			out = append(out, fmt.Sprintf("%s got fence %d after %d", o.Server, o.Fence, highest[o.Server]))
+			out = append(out, fmt.Sprintf("%s received fence %d after %d", o.Server, o.Fence, highest[o.Server]))
 		}
 		highest[o.Server] = max(highest[o.Server], o.Fence)
 	}
--- a/soak/check_bad_reports.go
+++ b/soak/check_bad_reports.go
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// checkBadReports wants no report to be taken that can't be read.
+// checkBadReports checks that control accepts no unreadable report.
 func checkBadReports(h *History) []string {
 	var out []string
 	for _, w := range h.BadReports {
 		if w.Status == http.StatusOK && !w.Foreign {
-			out = append(out, "taken: "+w.Text)
+			out = append(out, "accepted: "+w.Text)
 		}
 	}
 	return out
 }
 
-// Bounds of a content that ends servers.
+// Bounds for requests that crash servers.
 const (
-	// deadlyServers is the number of servers that it may end before it is known.
+	// maxDeadlyServers is the number of servers that such a content may crash before it is
+	// recognised.
 	maxDeadlyServers = 3
-	// deadlyAfter is the number of times that it may reach a server later than touchTime
-	// after that.
+	// maxDeadlyLater is how often the content may reach a server later than undisturbedTime after
+	// that.
 	maxDeadlyLater = 3
 )
 
-// checkDeadly wants a content that ends servers to be left alone once three have ended.
+// checkDeadly checks that a content that crashes servers is no longer sent once it has crashed
+// three.
 func checkDeadly(h *History) []string {
 	var ran []time.Duration
 	for _, a := range h.Arrivals {
@@ -48,5 +50,5 @@
 	if later <= maxDeadlyLater {
 		return nil
 	}
-	return []string{fmt.Sprintf("it ended %d servers, %d of them later than %v after the third", len(ran), later, undisturbedTime)}
+	return []string{fmt.Sprintf("it crashed %d servers, %d of them later than %v after the third", len(ran), later, undisturbedTime)}
 }
--- a/soak/check_keys.go
+++ b/soak/check_keys.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Bounds of the use of limits, which the settings of a run name too.
+// Bounds of token limits, also written to the settings of a run.
 const (
 	quotaWindow    = 8 * time.Second
 	quotaOvershoot = 0.1
 	quotaSlack     = 22000
 )
 
-// checkKeys wants servers to be told whose request it is, and to see no key; and a request
-// to be refused for its key if, and only if, no table has held that.
+// checkKeys checks that servers receive the organisation of each request but no API key, and that
+// requests are refused for their key if and only if no table has held it.
 func checkKeys(h *History) []string {
 	var out []string
 	organisations := map[string]string{}
@@ -26,25 +26,25 @@
 			out = append(out, fmt.Sprintf("%s of %s was refused for its key", q.ID, q.Organisation))
 		}
 		if q.Status == http.StatusOK && q.Organisation == unknownOrganisation {
-			out = append(out, fmt.Sprintf("%s has no key and got an answer", q.ID))
+			out = append(out, fmt.Sprintf("%s has an unknown key and was answered", q.ID))
 		}
 	}
 	for _, a := range h.Arrivals {
 		organisation, ok := organisations[a.ID]
 		if ok && a.Header.Get(headers.Organisation) != organisation {
-			out = append(out, fmt.Sprintf("%s of %s came to %s as one of %q", a.ID, organisation, a.Server, a.Header.Get(headers.Organisation)))
+			out = append(out, fmt.Sprintf("%s of %s arrived at %s with organisation %q", a.ID, organisation, a.Server, a.Header.Get(headers.Organisation)))
 		}
 		for name, values := range a.Header {
 			if strings.Contains(strings.Join(values, " "), "key-") {
-				out = append(out, fmt.Sprintf("%s sees the key of %s in %s", a.Server, a.ID, name))
+				out = append(out, fmt.Sprintf("%s received the key of %s in header %s", a.Server, a.ID, name))
 			}
 		}
 	}
 	return out
 }
 
-// checkLimits wants an organisation that asks for more than its limit to stay within the
-// bounds in each window.
+// checkLimits checks that an organisation that requests more than its limit stays within the bounds
+// in each window.
 func checkLimits(h *History) []string {
 	hot := map[string]bool{}
 	for _, q := range h.Requests {
--- a/soak/check_tables.go
+++ b/soak/check_tables.go
@@ -11,8 +11,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkInForce wants the newest acknowledged table in force at each gateway in
-// time, and a table that a gateway has shown never followed by an older one.
+// checkInForce checks that the newest acknowledged table is in force at each gateway in time, and
+// that a gateway never falls back to an older table.
 func checkInForce(h *History) []string {
 	var out []string
 	probes := slices.Clone(h.Probes)
@@ -36,8 +36,8 @@
 	return out
 }
 
-// mustShow tells whether a probe asks for the newest table of all that were
-// sent, long enough after its acknowledgement.
+// mustShow reports whether a probe requests the newest of all tables sent, long enough after its
+// acknowledgement.
 func (h *History) mustShow(p Probe) bool {
 	acknowledged := false
 	for _, put := range h.Puts {
@@ -51,8 +51,8 @@
 	return acknowledged
 }
 
-// controlDisturbed tells whether a fault came to control shortly before a moment. That a
-// replica is replaced in order excuses nothing.
+// controlDisturbed reports whether a fault hit control shortly before a moment. The planned
+// replacement of a replica is no excuse.
 func (h *History) controlDisturbed(at time.Duration) bool {
 	for _, o := range h.Outages {
 		if !o.Kind.Replaces() && strings.HasPrefix(o.Process, controlPrefix) && o.From <= at+disconnectBound && at-undisturbedTime <= o.To {
@@ -62,7 +62,7 @@
 	return false
 }
 
-// tableInput is an operation on the table for the check of its history.
+// tableInput is an operation on the table, as input of tableModel.
 type tableInput struct {
 	put     bool
 	version int
@@ -81,10 +81,10 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// checkTables wants reads and acknowledged changes of the table to be those of
-// one register. A change without a clear answer may take effect at any later
-// time, or never, so only those that a read has shown count. A read may be as old
-// as the time that a table has to come into force, so it counts as begun earlier.
+// checkTables checks that reads and acknowledged changes of the table are linearizable as one
+// register. A change without a clear answer may take effect at any later time or never, so it
+// counts only if a read has shown it. A read may be as stale as the time in which a table must be
+// in force, so its start is moved back by that time.
 func checkTables(h *History) []string {
 	seen := map[int]bool{}
 	for _, r := range h.Reads {
@@ -109,13 +109,12 @@
 		}
 	}
 	if !porcupine.CheckOperations(tableModel, ops) {
-		return []string{fmt.Sprintf("%d changes and reads are not those of one table", len(ops))}
+		return []string{fmt.Sprintf("%d changes and reads are not linearizable as one table", len(ops))}
 	}
 	return checkFinalRead(h)
 }
 
-// checkReadBack wants the newest acknowledged table read after the end of all
-// faults.
+// checkFinalRead checks that the newest acknowledged table is read after the end of all faults.
 func checkFinalRead(h *History) []string {
 	newest, last := 0, -1
 	for _, p := range h.Puts {
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -17,20 +17,21 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// quotaSettings tell how the use of limits is judged, as checkLimits does.
+// quotaSettings are the settings by which token limits are enforced, with the bounds that
+// checkLimits uses.
 var quotaSettings = fmt.Sprintf("quota: {window: %s, overshoot: %g, slack: %d}", quotaWindow, quotaOvershoot, quotaSlack)
 
-// headers are the names that the run's callers and servers use.
+// headers are the header names that the callers and servers of a run use.
 var headers = platform.Protocol.Headers
 
-// The services of a run.
+// Services of a run.
 const (
 	engineService = "llm"
 	appService    = "app"
 )
 
-// The availability zones of a run: that of all processes and most servers, and that of the last
-// server of each kind.
+// Availability zones of a run. nearZone has all processes and most servers, farZone the last server
+// of each kind.
 const (
 	nearZone = "z"
 	farZone  = "y"
@@ -46,21 +47,20 @@
 func gatewayName(n int) string { return fmt.Sprint(gatewayPrefix, n) }
 func controlName(n int) string { return fmt.Sprint(controlPrefix, n) }
 
-// What the names of processes begin with.
+// Prefixes of process names.
 const (
 	gatewayPrefix = "gateway-"
 	controlPrefix = "control-"
 )
 
-// server is a stand-in backend server behind a proxy. A server that was killed
-// comes back as another incarnation.
+// server is a stand-in backend server behind a proxy. A killed server returns as another
+// incarnation.
 type server struct {
 	service, role string
-	// name is what the server calls itself in all its starts.
+	// name is the server's name in all its incarnations.
 	name string
-	// zone is its availability zone.
 	zone string
-	// life is held by the step of a plan that ends and starts the server.
+	// lifeMu is held by the step of a plan that ends and starts the server.
 	lifeMu sync.Mutex
 
 	mu        sync.Mutex
@@ -68,9 +68,9 @@
 	proxy     *proxy
 	disturber *disturber
 	leaving   bool
-	// born is when its present start was, in Unix milliseconds.
+	// born is the start time of the current incarnation in Unix milliseconds.
 	born int64
-	// coldUntil is when it is warm.
+	// coldUntil is the time until which the server is cold.
 	coldUntil time.Time
 }
 
@@ -80,38 +80,39 @@
 	return srv.backend, srv.proxy
 }
 
-// site is a deployment: real processes of the system, stand-in servers, and what
-// was seen of them.
+// cluster is a deployment of real processes and stand-in servers, with the observations made of
+// them.
 type cluster struct {
 	rec      *recorder
 	shape    Shape
 	dir      string
 	binaries [2]string
-	// first is the build that all processes start on.
+	// initialBuild is the build on which all processes start.
 	initialBuild build
 	processes    map[string]*process
-	// front, ready and api are the addresses of callers, readiness and control.
+	// callerAddresses, readinessAddresses and apiAddresses are the addresses of the gateways'
+	// listeners for callers and for readiness checks, and of control's API.
 	callerAddresses, readinessAddresses, apiAddresses []string
 	group                                             *standin.BackendGroup
 	servers                                           []*server
 	backends                                          []*standin.Backend
 	backendsMu                                        sync.Mutex
-	zones                                             map[string]string // of each start of a server, under pastMu
+	zones                                             map[string]string // by ID of an incarnation, under backendsMu
 	incarnations                                      atomic.Int64
 	sequence                                          atomic.Int64
 	client                                            *http.Client
-	// wg are the servers that start again, closing ends that.
+	// wg counts crashed servers that will be started again; closing prevents further starts.
 	wg      sync.WaitGroup
 	closing atomic.Bool
-	// started tells that a run has begun in which servers that start again are cold.
+	// marksCold is set once the run has begun, if restarted servers are to be cold.
 	marksCold atomic.Bool
 }
 
-// host returns an address of the loopback range for the n-th process, so that
-// the ports of all processes can be alike.
+// loopbackHost returns a loopback address for the n-th process, so that all processes can use the
+// same ports.
 func loopbackHost(n int) string { return fmt.Sprintf("127.0.1.%d", n+1) }
 
-// freePort returns a port that is free at each of some hosts.
+// freePort returns a port that is free on the given number of loopback hosts.
 func freePort(hosts int) (string, error) {
 	for range 100 {
 		ln, err := net.Listen("tcp", loopbackHost(0)+":0")
@@ -136,7 +137,7 @@
 	return "", fmt.Errorf("soak: no free port")
 }
 
-// newSite writes the settings of all processes and starts everything.
+// newCluster writes the settings of all processes and starts all processes and servers.
 func newCluster(o Options, rec *recorder) (*cluster, error) {
 	shape := o.Shape
 	cl := &cluster{
@@ -192,11 +193,11 @@
 
 func (cl *cluster) dataDir(name string) string { return filepath.Join(cl.dir, name+".data") }
 
-// treeControl are settings of control that the production build may not know: the fleet's
-// version rises only when it is asked for, so that going back stays possible.
+// treeControlSettings are settings of control that the production build may not know. The fleet's
+// version rises only on request, so that a downgrade stays possible.
 var treeControlSettings = "  upgrade: {after: 0s}\n" + coldSettings
 
-// add makes a process; treePart are settings for the tree's build alone.
+// addProcess adds a process to the cluster. treeSettings apply to the tree's build only.
 func (cl *cluster) addProcess(name, operators, settings, treeSettings string) error {
 	text := fmt.Sprintf("name: %s\nzone: z\noperators: %q\nlog: {level: info, format: json}\ntokens: {trusted_network: true}\n%s", name, operators, settings)
 	p, err := createProcess(cl.binaries, cl.dir, name, [2]string{text, text + treeSettings})
@@ -215,8 +216,8 @@
 func (cl *cluster) startServers() error {
 	start := func(n int, service, role string) error {
 		for i := range n {
-			// Soaks beside this one may get the address of a server that has ended: no name of
-			// theirs is like one of its own.
+			// A soak that runs at the same time may get the address of a server that has ended, so
+			// names must differ between soaks.
 			srv := &server{service: service, role: role, name: fmt.Sprintf("%s-s%d-%d", service, len(cl.servers), os.Getpid()), zone: nearZone}
 			if i > 0 && i == n-1 {
 				srv.zone = farZone
@@ -237,14 +238,14 @@
 	return start(cl.shape.Apps, appService, "")
 }
 
-// Paces of the stand-in servers.
+// Speed and capacity of the stand-in servers.
 const (
 	prefillTime = 25 * time.Millisecond
 	eventTime   = 25 * time.Millisecond
 	engineSlots = 16
 )
 
-// raise starts a server again, under its name.
+// startServer starts a new incarnation of a server.
 func (cl *cluster) startServer(srv *server) error {
 	id := fmt.Sprintf("%s-%d", srv.service, cl.incarnations.Add(1))
 	b, err := cl.group.StartBackend("127.0.0.1:0", id, srv.role, headers)
@@ -277,10 +278,11 @@
 	return nil
 }
 
-// crashTime is how long a server that a request has ended is away.
+// crashRestartDelay is how long a server that a request has crashed stays down.
 const crashRestartDelay = 500 * time.Millisecond
 
-// again starts a server again that a request has ended, unless a step of the plan does.
+// restartCrashed starts a server again that a request has crashed, unless a step of the plan has
+// done so.
 func (cl *cluster) restartCrashed(srv *server, crashed *standin.Backend) {
 	cl.wg.Go(func() {
 		time.Sleep(crashRestartDelay)
@@ -294,21 +296,21 @@
 	})
 }
 
-// leave sets whether the server has said that it leaves.
+// setLeaving sets whether the server has reported that it leaves.
 func (srv *server) setLeaving(leaving bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.leaving = leaving
 }
 
-// end ends a server at once.
+// kill ends a server immediately.
 func (srv *server) kill() {
 	b, p := srv.current()
 	p.close()
 	b.Kill()
 }
 
-// callTimeout bounds a call to control.
+// callTimeout is the timeout of a call to control.
 const callTimeout = time.Second
 
 func (cl *cluster) call(ctx context.Context, method, url, body string) (int, string, error) {
@@ -317,7 +319,7 @@
 	return standin.Call(ctx, cl.client, method, url, body)
 }
 
-// close ends all that was started.
+// close ends all processes and servers.
 func (cl *cluster) close() {
 	cl.closing.Store(true)
 	cl.wg.Wait()
@@ -334,8 +336,8 @@
 	wg.Wait()
 }
 
-// wipe empties the disk of a process that has ended, and tells it that this is
-// no first start.
+// wipeDisk deletes the data of a stopped process and sets in its settings that it does not found a
+// new cluster.
 func (cl *cluster) wipeDisk(name string) error {
 	if err := os.RemoveAll(cl.dataDir(name)); err != nil {
 		return err
--- a/soak/cold_servers.go
+++ b/soak/cold_servers.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What a plain server bears for a while after it was started again, by the table, and how what it
-// gets is judged, by the settings of control.
+// The rate that a plain server can handle for a time after a restart, as the table has it, and the
+// bounds of what it may receive, as control's settings have them.
 const (
 	coldTime      = 3 * time.Second
 	coldRate      = 4.0
@@ -15,16 +15,17 @@
 	coldSlack     = 5
 )
 
-// coldSettings tell how what cold servers get is judged, as checkCold does.
+// coldSettings are the settings by which control judges the load of cold servers, with the bounds
+// that checkCold uses.
 var coldSettings = fmt.Sprintf("  cold: {overshoot: %g, slack: %d}\n", coldOvershoot, coldSlack)
 
-// ColdSpan is a time in which a server was cold, and had said so from its first report on.
+// ColdSpan is a time in which a server was cold and had reported it since its first report.
 type ColdSpan struct {
 	Server   string
 	From, To time.Duration
 }
 
-// chill has a server be cold for a while that has just started again.
+// markCold makes a server that has just restarted cold for a time.
 func (cl *cluster) markCold(srv *server, id string) {
 	if srv.service != appService || !cl.marksCold.Load() {
 		return
@@ -37,15 +38,15 @@
 	cl.rec.update(func(h *History) { h.Cold = append(h.Cold, ColdSpan{Server: id, From: from, To: from + coldTime}) })
 }
 
-// coldLeft returns for how much longer a server is cold, in milliseconds.
+// coldRemaining returns the remaining time, in milliseconds, for which a server is cold.
 func (srv *server) coldRemaining() int64 {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return max(time.Until(srv.coldUntil).Milliseconds(), 0)
 }
 
-// checkCold wants no cold server to get more in any second than it bears, from all gateways
-// together, unless its link held something up.
+// checkCold checks that no cold server receives more requests in any second than it can handle,
+// from all gateways together, unless its link was disturbed.
 func checkCold(h *History) []string {
 	var out []string
 	const most = int(coldRate*coldOvershoot) + coldSlack
@@ -61,7 +62,7 @@
 			if at[i]-at[i-most] >= time.Second || h.disturbed(c.Server, at[i], 2*time.Second) {
 				continue
 			}
-			out = append(out, fmt.Sprintf("%s got %d requests between %v and %v, while it was cold", c.Server, most+1, at[i-most], at[i]))
+			out = append(out, fmt.Sprintf("%s received %d requests between %v and %v, while it was cold", c.Server, most+1, at[i-most], at[i]))
 			break
 		}
 	}
--- a/soak/desk_caller.go
+++ b/soak/desk_caller.go
@@ -14,27 +14,29 @@
 	"time"
 )
 
-// Callers of streams that may be resumed: they come back with the last event that they have.
+// Callers of resumable streams, which reconnect with the ID of their last event.
 const (
-	// deskTries bounds the tries of a caller, leastTry is the time that one must have left.
+	// maxDeskAttempts bounds the attempts of a caller. minAttemptTime is the time before the
+	// deadline that an attempt needs at least.
 	maxDeskAttempts = 6
 	minAttemptTime  = 400 * time.Millisecond
-	// firstGap and leastGap are how long callers wait for the first event, and for the next
-	// one at least; the most patient wait for spreadGap longer.
+	// firstEventTimeout is how long a caller waits for the first event. The wait for the next one
+	// is minEventTimeout and up to eventTimeoutSpread more.
 	firstEventTimeout  = 2 * time.Second
 	minEventTimeout    = 250 * time.Millisecond
 	eventTimeoutSpread = 1500 * time.Millisecond
-	// breakShare is the part of the callers that leave in the middle of a try, which come
-	// back; bigShare is that of those who ask for much, and slowShare that of slow readers.
+	// deskDisconnectShare is the share of attempts in which the caller disconnects in the middle of
+	// the stream and reconnects. bigEventShare and slowReaderShare are the shares of callers that
+	// request large events and that read slowly.
 	deskDisconnectShare = 0.3
 	bigEventShare       = 0.03
 	slowReaderShare     = 0.1
 	maxReadPause        = 150 * time.Millisecond
-	// smallWindow is the receive buffer of a slow reader.
+	// slowReaderBuffer is the receive buffer of a slow reader in bytes.
 	slowReaderBuffer = 4 << 10
 )
 
-// desk is a caller of a stream that may be resumed.
+// deskCaller is a caller of a resumable stream.
 type deskCaller struct {
 	load         *load
 	rng          *rand.Rand
@@ -44,11 +46,11 @@
 	maxReadSize  int
 	maxReadPause time.Duration
 	deadline     time.Time
-	// lastID is the last event that the caller has.
+	// lastID is the ID of the last event received.
 	lastID string
 }
 
-// desk plays a caller with all its tries.
+// runDeskCaller runs a caller with all its attempts.
 func (l *load) runDeskCaller(first Request, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 6))
 	d := &deskCaller{load: l, rng: r, name: first.ID, first: first, deadline: time.Now().Add(deadlines[Desk])}
@@ -70,8 +72,8 @@
 	}
 }
 
-// try sends one request. It returns whether the caller comes back, and how long it has to
-// wait if it was refused; a caller that was does not come back after the end of the load.
+// attempt sends one request. It returns whether the caller tries again, and how long it waits first
+// if it was refused; after the end of the load a refused caller does not try again.
 func (d *deskCaller) attempt(try int) (again bool, pause time.Duration) {
 	q := d.first
 	q.Caller, q.Try, q.LastID = d.name, try, d.lastID
@@ -103,7 +105,7 @@
 	return true, 0
 }
 
-// gateway draws one that takes callers, or returns -1.
+// pickGateway draws a gateway that accepts callers, or returns -1.
 func (d *deskCaller) pickGateway() int {
 	for range 4 {
 		if n := d.rng.IntN(len(d.load.excluded)); !d.load.excluded[n].Load() {
@@ -113,8 +115,8 @@
 	return -1
 }
 
-// ask sends a request, on a kept or on a new connection, and gives up if nothing comes for
-// long.
+// send sends a request on a kept or a new connection, and disconnects if no answer starts within
+// firstEventTimeout.
 func (d *deskCaller) send(ctx context.Context, q *Request, remaining time.Duration) (*http.Response, error) {
 	client := d.load.clients[q.Gateway]
 	if q.Try > 1 && d.rng.IntN(2) == 0 || d.maxReadPause > 0 {
@@ -151,7 +153,7 @@
 	return resp, nil
 }
 
-// cancelBody ends the context of an answer with its body.
+// cancelBody cancels the context of an answer when its body is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -163,7 +165,8 @@
 	return c.ReadCloser.Close()
 }
 
-// newConnections returns a client that opens a connection for each request.
+// newUnpooledClient returns a client that opens a connection for each request. A readBuffer above
+// zero sets the size of its receive buffer.
 func newUnpooledClient(readBuffer int) *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &http.Client{Transport: &http.Transport{
@@ -178,7 +181,7 @@
 	}}
 }
 
-// take reads the events of an answer, until its end or until the caller has had enough.
+// readAnswer reads the events of an answer until its end or until the caller disconnects.
 func (d *deskCaller) readAnswer(q *Request, resp *http.Response, cancel context.CancelFunc) error {
 	if resp.StatusCode != http.StatusOK {
 		body, err := readAll(resp.Body)
@@ -207,14 +210,14 @@
 	return err
 }
 
-// end notes a try in the history.
+// recordAttempt records an attempt in the history.
 func (d *deskCaller) recordAttempt(q *Request, err error) {
 	d.load.rec.update(func(h *History) {
 		q.Ended, q.Cut = d.load.rec.now(), err != nil
 		var op *net.OpError
 		q.Unconnected = errors.As(err, &op) && op.Op == "dial"
-		// One that reads slowly may not be through at its deadline, and leaves with its answer
-		// whole on the way.
+		// A slow reader may reach its deadline before it has read the complete answer, and
+		// disconnects then.
 		if d.maxReadPause > 0 && q.LeftAt == 0 && errors.Is(err, context.DeadlineExceeded) {
 			q.LeftAt = q.Ended
 		}
@@ -222,10 +225,10 @@
 	})
 }
 
-// request makes a request for a caller who still waits for a time.
+// newRequest creates a request of a caller whose deadline is the remaining time away.
 func (l *load) newRequest(ctx context.Context, q *Request, remaining time.Duration) (*http.Request, error) {
 	url := "http://" + l.cluster.callerAddresses[q.Gateway] + "/" + string(q.Kind) + "/x"
-	// A reader of its own keeps the standard client from sending again.
+	// The custom reader keeps the standard client from retrying the request.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(strings.NewReader(q.Content)))
 	if err != nil {
 		return nil, err
@@ -241,8 +244,8 @@
 	return req, nil
 }
 
-// hint is what a caller believes its answer to have, in tokens: most take it for shorter
-// than it is, so that engines fill.
+// lengthHint returns the caller's estimate of the answer's length in tokens. Most estimates are too
+// low, so that engines fill up.
 func (q *Request) lengthHint() int {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, q.ID)
--- a/soak/desk_caller_test.go
+++ b/soak/desk_caller_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlowCallerLeaves wants a caller that reads too slowly for its own deadline noted as one
-// that has left, and nobody else whose answer breaks off.
+// TestSlowReaderAtDeadlineCountsAsDisconnected checks that only a caller that reads too slowly for
+// its own deadline is recorded as disconnected, and no other caller whose answer is cut.
 func TestSlowReaderAtDeadlineCountsAsDisconnected(t *testing.T) {
 	late := fmt.Errorf("reading: %w", context.DeadlineExceeded)
 	for _, c := range []struct {
--- a/soak/disturber.go
+++ b/soak/disturber.go
@@ -11,13 +11,12 @@
 	"time"
 )
 
-// trouble stands around an engine, and has its calls and streams go wrong while it is told
-// to.
+// disturber wraps the handler of an engine and disturbs its calls and streams while it is active.
 type disturber struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	active map[Kind]int
-	// count is told of each.
+	// countTrouble is called with each disturbance.
 	countTrouble func(what string)
 }
 
@@ -27,14 +26,14 @@
 	return &disturber{rng: rand.New(rand.NewPCG(h.Sum64(), uint64(incarnation))), active: map[Kind]int{}, countTrouble: countTrouble}
 }
 
-// set begins or ends a kind of trouble; several may overlap.
+// add starts or ends a kind of disturbance; several of a kind may overlap.
 func (d *disturber) add(k Kind, delta int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.active[k] += delta
 }
 
-// draw returns a number below n if a kind of trouble is on, and -1 if it is not.
+// draw returns a random number below n if a kind of disturbance is active, and -1 otherwise.
 func (d *disturber) draw(k Kind, n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +43,7 @@
 	return d.rng.IntN(n)
 }
 
-// around is the handler around an engine's own.
+// wrap returns a handler that disturbs requests to next.
 func (d *disturber) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch path := r.URL.Path; {
@@ -62,14 +61,14 @@
 	})
 }
 
-// callTroubles name what goes wrong with a call, as it is drawn.
+// callDisturbances are the names of the disturbances of a call, by the number that is drawn.
 var callDisturbances = []string{"refused call", "late call", "late call", "late answer to a call", "late answer to a call", "lost answer to a call"}
 
-// lateBy is how late a call or its answer is at most, beyond all that gateways wait.
+// maxLateness is the maximum delay of a call or its answer. It exceeds all timeouts of gateways.
 const maxLateness = 1200 * time.Millisecond
 
-// call has a call about a run, a copy or a hold go wrong: refused, late, or its answer late
-// or lost.
+// disturbCall refuses or delays a call about a run, a copy or a hold, or delays or drops its
+// answer.
 func (d *disturber) disturbCall(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	choice := d.draw(DisturbCalls, 8)
 	body, err := io.ReadAll(r.Body)
@@ -100,7 +99,7 @@
 	}
 }
 
-// keptAnswer is an answer that has not been sent.
+// bufferedAnswer is an answer that has not been sent.
 type bufferedAnswer struct {
 	header http.Header
 	status int
@@ -116,7 +115,7 @@
 // Write implements http.ResponseWriter.
 func (b *bufferedAnswer) Write(p []byte) (int, error) { return b.body.Write(p) }
 
-// pass sends the answer.
+// sendTo sends the answer.
 func (b *bufferedAnswer) sendTo(w http.ResponseWriter) {
 	for name, values := range b.header {
 		w.Header()[name] = values
@@ -125,7 +124,7 @@
 	_, _ = w.Write(b.body.Bytes())
 }
 
-// stream has a stream break, or come in another form.
+// disturbStream breaks a stream or changes its framing.
 func (d *disturber) disturbStream(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	choice, closesEarly := d.draw(BreakStreams, 8), d.draw(CloseStreams, 3) == 0
 	if !closesEarly && (choice < 0 || choice > 4) {
@@ -145,11 +144,11 @@
 	case choice == 0: // the run ends with its stream
 	case choice == 1:
 		sw.lingerAfterBreak = true
-	case choice == 2: // without a frame, to its end
+	case choice == 2: // close-delimited, complete
 		sw.closeDelimited, sw.breakAt = true, -1
-	case choice == 3: // without a frame, reset in the middle
+	case choice == 3: // close-delimited, reset in the middle
 		sw.closeDelimited = true
-	case choice == 4: // with a length
+	case choice == 4: // with Content-Length
 		sw.contentLength, sw.breakAt = length, -1
 	}
 	d.countTrouble("broken stream")
@@ -157,7 +156,7 @@
 	next.ServeHTTP(sw, r)
 }
 
-// place draws where a stream of some bytes breaks.
+// drawBreak draws the byte at which a stream of some length breaks.
 func (d *disturber) drawBreak(length int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,9 +1,8 @@
-// Package soak runs a small deployment of real ledgepin processes on the
-// loopback address, makes faults from outside, and checks what must always hold
-// from what callers, operators and backend servers saw.
+// Package soak runs a small deployment of real ledgepin processes on loopback addresses, injects
+// faults from outside, and checks invariants on what callers, operators and backend servers
+// observed.
 //
-// A run is made from a seed: the plan of faults is drawn from it, and so are the
-// requests. The history of a run is plain data, and the checks are functions of
-// it, so that each of them can be shown to fail on a history that breaks its
-// rule.
+// The seed of a run determines its plan of faults and its requests. The history of a run is plain
+// data and the checks are functions of it, so that tests can show for each check that it fails on a
+// history that breaks its rule.
 package soak
--- a/soak/duplicate_answers.go
+++ b/soak/duplicate_answers.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// mostAgain bounds an answer that may come again.
+// maxDuplicateBytes is the maximum size of an answer that may be sent again.
 const maxDuplicateBytes = 16 << 10
 
-// answers keeps the last whole answer of a connection, for it to come again late.
+// lastAnswer keeps the last complete answer of a connection, so that it can be sent again later.
 type lastAnswer struct {
 	mu       sync.Mutex
 	data     []byte
 	complete bool
 }
 
-// note takes a part of an answer on its way.
+// write adds bytes of an answer that is being forwarded.
 func (la *lastAnswer) write(data []byte) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -29,7 +29,8 @@
 	la.complete = isCompleteAnswer(la.data)
 }
 
-// again returns the last answer, once, if it is whole: what comes now is the next request.
+// take returns the last answer, once, if it is complete. It is called when the next request
+// arrives.
 func (la *lastAnswer) take() []byte {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -41,8 +42,8 @@
 	return out
 }
 
-// wholeAnswer tells whether bytes are an answer with its end, as the servers of a run write
-// them.
+// isCompleteAnswer reports whether the bytes are a complete answer in the framing that the servers
+// of a run use.
 func isCompleteAnswer(data []byte) bool {
 	head, body, ok := bytes.Cut(data, []byte("\r\n\r\n"))
 	if !ok || len(data) >= maxDuplicateBytes {
@@ -59,14 +60,14 @@
 	return eventNumber(string(length)) == len(body)
 }
 
-// second sets whether answers come again.
+// setDuplicate sets whether answers are sent again.
 func (p *proxy) setDuplicate(duplicate bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.duplicate = duplicate
 }
 
-// sendsAgain draws whether an answer comes again now.
+// drawDuplicate draws whether an answer is sent again now.
 func (p *proxy) drawDuplicate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// evacuationBound is how long after its acknowledgement an evacuation may not be in force at a
-// gateway that is in touch.
+// evacuationBound is the time after its acknowledgement by which an evacuation must be in force at
+// a connected gateway.
 const evacuationBound = 2500 * time.Millisecond
 
-// evacuate evacuates the far zone for a time. The order that ends it is sent until it is taken,
-// also after the callers' time.
+// evacuate evacuates the far zone for a time. The order that ends the evacuation is sent until
+// control accepts it, also after the end of the load.
 //
-// One order at a time: an earlier one that ends the evacuation may be taken late, and would end the
-// next one too.
+// Evacuations don't overlap: the order that ends an earlier one may be accepted late and would also
+// end the next one.
 func (o *operators) evacuate(ctx context.Context, step Step) {
 	o.evacuationMu.Lock()
 	defer o.evacuationMu.Unlock()
@@ -29,8 +29,7 @@
 	o.rec.update(func(h *History) { h.Evacuations = append(h.Evacuations, e) })
 }
 
-// order sends an order about the far zone until a replica takes it, or too many tries were in
-// vain.
+// sendOrder sends an order about the far zone until a replica accepts it or all tries have failed.
 func (o *operators) sendOrder(ctx context.Context, action string) bool {
 	const tries = 200
 	for try := 0; ctx.Err() == nil && try < tries; try++ {
@@ -43,9 +42,9 @@
 	return false
 }
 
-// checkEvacuations wants no request to reach a zone from the bound after the acknowledgement on
-// until the order is withdrawn. A gateway that was disturbed is held to it too: it has to ask
-// before it sends.
+// checkEvacuations checks that no request reaches an evacuated zone later than evacuationBound
+// after the acknowledgement, until the order is withdrawn. Disturbed gateways are not excused: they
+// have to ask before they send.
 func checkEvacuations(h *History) []string {
 	var out []string
 	for _, e := range h.Evacuations {
--- a/soak/event_text.go
+++ b/soak/event_text.go
@@ -9,27 +9,27 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// streamEvents is the number of events of a stream of the run's engines, eventTokens the
-// number of tokens of each.
+// streamEvents is the number of events of a stream of the engines, eventTokens the number of tokens
+// of each event.
 const (
 	streamEvents = 40
 	eventTokens  = 10
 )
 
-// Words in the contents of requests, which say what the events of their answers hold.
+// Markers in the content of requests that select the texts of the answer's events.
 const (
-	// oddTexts are texts like those that callers ask for: with colons, with what looks like
-	// fields of events, JSON, several lines, letters of several bytes.
+	// oddTextMarker selects texts like those that callers may request: with colons, texts that look
+	// like event fields, JSON, several lines, and multi-byte characters.
 	oddTextMarker = "odd"
-	// bigTexts are some kilobytes each.
+	// bigTextMarker selects texts of some kilobytes each.
 	bigTextMarker = "big"
 )
 
-// bigText is the length of a big text.
+// bigTextBytes is the size of a big text.
 const bigTextBytes = 12 << 10
 
-// textOf is what the n-th event of the answer to a content holds. It differs for any two
-// contents and numbers, so that parts of two runs can't be joined unseen.
+// eventText returns the text of the n-th event of the answer to a content. It differs for any two
+// contents and numbers, so that the checks detect a mix of two runs.
 func eventText(content string, n int) string {
 	h := fnv.New32a()
 	fmt.Fprint(h, content, " ", n)
@@ -58,7 +58,7 @@
 	}
 }
 
-// streamFrom is what follows an event of the whole answer to a content.
+// streamAfter returns the part of the complete answer to a content that follows event last.
 func streamAfter(content string, last int) string {
 	var b strings.Builder
 	for n := last + 1; n <= streamEvents; n++ {
@@ -67,7 +67,8 @@
 	return b.String()
 }
 
-// numberOf reads the ID of an event; 0 if there is none, -1 if it is no number.
+// eventNumber parses the ID of an event. It returns 0 if there is none and -1 if it is not a
+// number.
 func eventNumber(id string) int {
 	if id == "" {
 		return 0
--- a/soak/events.go
+++ b/soak/events.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// Event is an event as a caller got it.
+// Event is an event as a caller received it.
 type Event struct {
 	ID   string
 	Text string
 	At   time.Duration
 }
 
-// eventReader reads the events of an answer as a caller does, with a hand that may be slow.
+// eventReader reads the events of an answer as a caller does, optionally slowly.
 type eventReader struct {
 	rng *rand.Rand
 	now func() time.Duration
-	// piece is the longest piece in which the caller reads most of the time.
+	// maxReadSize is the maximum size of most reads.
 	maxReadSize int
-	// slow is the longest time that the caller waits before it reads on.
+	// maxReadPause is the maximum pause between two reads.
 	maxReadPause time.Duration
-	// got is told of each event, and returns whether the caller stays.
+	// onEvent is called with each event and returns whether the caller stays connected.
 	onEvent func(e Event) bool
 
-	// body is what the caller has taken, handed the length of its events that were handed
-	// out.
+	// body is what the caller has received, delivered the length of the events that were passed to
+	// onEvent.
 	body      []byte
 	delivered int
 }
 
-// errCallerLeft ends the reading of a caller that has had enough.
-var errCallerLeft = errors.New("soak: the caller leaves")
+// errCallerLeft ends the reading of a caller that disconnects.
+var errCallerLeft = errors.New("soak: the caller disconnected")
 
-// Pieces in which callers read, of small and of big events.
+// Sizes of reads, for small and for big events.
 const (
 	smallEventReadSize = 700
 	bigEventReadSize   = 16 << 10
 )
 
-// read reads to the end of an answer, in odd pieces.
+// read reads an answer to its end, in reads of random size.
 func (e *eventReader) read(r io.Reader) error {
 	buf := make([]byte, bigEventReadSize)
 	for {
@@ -66,8 +66,8 @@
 	}
 }
 
-// feed takes bytes and hands out the events that are whole. It returns false if the caller
-// leaves; what came behind the event at which it does is not taken.
+// feed adds bytes and passes complete events to onEvent. It returns false if the caller
+// disconnects; bytes after that event are discarded.
 func (e *eventReader) feed(data []byte) bool {
 	e.body = append(e.body, data...)
 	for {
@@ -83,7 +83,7 @@
 	}
 }
 
-// parseEvent reads the lines of an event.
+// parseEvent parses the lines of an event.
 func parseEvent(block string, at time.Duration) Event {
 	out := Event{At: at}
 	var text []string
--- a/soak/fault_injector.go
+++ b/soak/fault_injector.go
@@ -10,18 +10,18 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// faults plays a plan.
+// faultInjector runs a plan.
 type faultInjector struct {
 	cluster *cluster
 	rec     *recorder
 	load    *load
 	ops     *operators
 	wg      sync.WaitGroup
-	// disk is held while a replica of control has lost its disk and is no voter again.
+	// diskMu is held while a replica of control has lost its disk and is not a voter again yet.
 	diskMu sync.Mutex
 }
 
-// play makes each step at its time; steps overlap.
+// run starts each step at its time; steps overlap.
 func (f *faultInjector) run(ctx context.Context, plan []Step) {
 	var replacements []Step
 	for _, step := range plan {
@@ -42,7 +42,7 @@
 	}
 }
 
-// make makes one step and notes when it was over.
+// runStep runs one step and records its end.
 func (f *faultInjector) runStep(ctx context.Context, step Step) {
 	recordEnd := f.recordStep(step, f.targets(step)...)
 	defer recordEnd()
@@ -82,7 +82,7 @@
 	}
 }
 
-// targets names the processes and servers that a step disturbs.
+// targets returns the names of the processes and servers that a step disturbs.
 func (f *faultInjector) targets(step Step) []string {
 	switch step.Kind {
 	case KillGateway, PauseGateway, StopGateway, Reload:
@@ -102,8 +102,8 @@
 	return []string{b.ID}
 }
 
-// begin notes the begin of a step at some targets and returns what notes its
-// end.
+// recordStep records the beginning of a step at some targets and returns a function that records
+// its end.
 func (f *faultInjector) recordStep(step Step, targets ...string) func() {
 	first := 0
 	f.rec.update(func(h *History) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// platformNotice is the time in which the platform notices that a gateway is
-// not ready, and sends callers elsewhere.
+// readinessDelay is the time until the platform notices that a gateway is not ready and sends
+// callers elsewhere.
 const readinessDelay = 2 * time.Second
 
 func (f *faultInjector) runGatewayStep(ctx context.Context, step Step) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// restartGateway stops a gateway in order and has it started again, as the platform sends
-// callers meanwhile.
+// restartGateway stops a gateway gracefully and starts it again. Meanwhile callers are sent
+// elsewhere, as the platform does.
 func (f *faultInjector) restartGateway(ctx context.Context, n int, start func()) {
 	excluded := time.AfterFunc(readinessDelay, func() { f.load.excluded[n].Store(true) })
 	f.cluster.processes[gatewayName(n)].stop(syscall.SIGTERM)
@@ -188,8 +188,7 @@
 	}
 }
 
-// killAllControl ends all replicas at once and starts them again; their disks
-// are kept.
+// killAllControl kills all replicas at once and starts them again with their disks.
 func (f *faultInjector) killAllControl() {
 	var all []*process
 	for n := range f.cluster.shape.Controls {
@@ -252,8 +251,8 @@
 	}
 }
 
-// replace ends a server and starts another incarnation of it, at once or as
-// planned: then it says so first and serves on for a while.
+// replaceServer ends a server and starts another incarnation of it. A planned replacement is
+// reported first, and the server keeps serving for a while.
 func (f *faultInjector) replaceServer(ctx context.Context, step Step, srv *server) {
 	srv.lifeMu.Lock()
 	defer srv.lifeMu.Unlock()
@@ -271,7 +270,7 @@
 		sleep(ctx, step.For)
 	}
 	_ = f.cluster.startServer(srv)
-	f.wg.Go(func() { // a report of the start before comes late
+	f.wg.Go(func() { // a report of the previous incarnation arrives late
 		sleep(ctx, step.For)
 		f.cluster.postHeartbeat(ctx, step.Target%len(f.cluster.apiAddresses), srv.name, lateReport)
 	})
--- a/soak/heartbeats.go
+++ b/soak/heartbeats.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// beats reports all servers until the context ends.
+// sendHeartbeats sends the heartbeats of all servers until the context ends.
 func (cl *cluster) sendHeartbeats(ctx context.Context) {
 	t := time.NewTicker(300 * time.Millisecond)
 	defer t.Stop()
@@ -28,7 +28,7 @@
 	}
 }
 
-// report tells control of a server, at any replica that takes it.
+// reportServer sends a report about a server to the replicas of control until one accepts it.
 func (cl *cluster) reportServer(ctx context.Context, srv *server, state string) bool {
 	text := cl.heartbeatBody(srv, state)
 	for n := range cl.apiAddresses {
@@ -39,7 +39,7 @@
 	return false
 }
 
-// heartbeatOf is what the present start of a server says of itself.
+// heartbeatBody returns the report of the current incarnation of a server.
 func (cl *cluster) heartbeatBody(srv *server, state string) string {
 	b, p := srv.current()
 	srv.mu.Lock()
@@ -49,8 +49,8 @@
 		srv.service, p.addr(), srv.zone, srv.coldRemaining(), engineSlots, state, b.CurrentRole(), cl.sequence.Add(1), born)
 }
 
-// say sends a report about a server to a replica, and returns the status of the answer; zero
-// if none came.
+// postHeartbeat sends a report about a server to a replica, and returns the status of the answer,
+// or zero if there was none.
 func (cl *cluster) postHeartbeat(ctx context.Context, replica int, name, text string) int {
 	status, _, err := cl.call(ctx, http.MethodPost, "http://"+cl.apiAddresses[replica]+"/-/instances/"+name+"/heartbeat", text)
 	if err != nil {
--- a/soak/history.go
+++ b/soak/history.go
@@ -7,60 +7,59 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// RequestKind is what a request may be.
+// RequestKind is a kind of request.
 type RequestKind string
 
-// The kinds of requests. Their routes have the same names.
+// The kinds of requests, named like their routes.
 const (
 	Checkout RequestKind = "checkout" // may not be repeated
 	Rates    RequestKind = "rates"    // may be repeated
-	Review   RequestKind = "review"   // a stream that may not be resumed
-	Desk     RequestKind = "desk"     // a stream that may be resumed
+	Review   RequestKind = "review"   // a stream that can't be resumed
+	Desk     RequestKind = "desk"     // a stream that can be resumed
 )
 
-// Request is one request as its caller saw it.
+// Request is a request as its caller observed it.
 type Request struct {
 	ID      string
 	Kind    RequestKind
 	Gateway int
-	// Caller is who sends it, if that one may come back; Try counts its tries from 1 on,
-	// and LastID is the last event that it had when it came.
+	// Caller is the name of a caller that may reconnect. Try counts its attempts from 1 on, and
+	// LastID is the ID of the last event that it had received before.
 	Caller string
 	Try    int
 	LastID string
-	// Events are those that came, of a caller that may come back.
+	// Events are the events that a caller of a resumable stream received.
 	Events []Event
-	// Organisation is whose key the request names.
+	// Organisation is the organisation whose API key the request has.
 	Organisation string
-	// Content is the body that it sends.
+	// Content is the body of the request.
 	Content string
 	// Sent and Ended are times since the start of the run.
 	Sent, Ended time.Duration
-	// Status is zero if no answer came.
+	// Status is zero if no answer arrived.
 	Status int
 	Body   string
-	// Cut tells that the answer broke off, or that none came.
+	// Cut reports that the answer was cut off or that none arrived.
 	Cut bool
-	// Unconnected tells that no connection could be opened.
+	// Unconnected reports that no connection could be opened.
 	Unconnected bool
-	// LeftAt is when the caller left, zero if it waited for the end.
+	// LeftAt is when the caller disconnected, zero if it waited for the end.
 	LeftAt time.Duration
 }
 
-// Arrival is one request as a server saw it.
+// Arrival is a request as a server observed it.
 type Arrival struct {
 	standin.Arrival
 	Server  string
 	Service string
 	Zone    string
 	At      time.Duration
-	// Ended is when the server stopped working on it; zero if it never did, or
-	// did not work on it.
+	// Ended is when the server stopped working on the request; zero if it never stopped or never
+	// started.
 	Ended time.Duration
 }
 
-// Outage is a time during which a process, a server or the way to it was
-// disturbed.
+// Outage is a time in which a process, a server or its link was disturbed.
 type Outage struct {
 	Step
 	// Process is the name of the process or server.
@@ -69,17 +68,17 @@
 	To      time.Duration
 }
 
-// Put is one change of the routing table.
+// Put is a change of the routing table.
 type Put struct {
 	Version     int
 	Sent, Ended time.Duration
-	// Status is zero if no clear answer came.
+	// Status is zero if there was no clear answer.
 	Status int
-	// Valid tells whether the table was one.
+	// Valid reports whether the table was valid.
 	Valid bool
 }
 
-// Read is one reading of the table at a replica of control.
+// Read is a read of the table at a replica of control.
 type Read struct {
 	Control     int
 	Sent, Ended time.Duration
@@ -87,7 +86,7 @@
 	Version     int
 }
 
-// Probe asks a gateway for the route that only one version has.
+// Probe is a request to a gateway for the route that only one version of the table has.
 type Probe struct {
 	Gateway     int
 	Incarnation int
@@ -96,29 +95,29 @@
 	Status      int
 }
 
-// Drain is a server's report that it leaves, taken by control.
+// Drain is a server's report, accepted by control, that it leaves.
 type Drain struct {
 	Server string
 	At     time.Duration
 }
 
-// Evacuation is an order that a zone gets no new work, from its acknowledgement to the time at
-// which the order was withdrawn.
+// Evacuation is an order that a zone receives no new work, from its acknowledgement until the order
+// was withdrawn.
 type Evacuation struct {
 	Zone            string
 	Acked, Finished time.Duration
 }
 
-// BadReport is a report about a server that can't be read, or that another server must have said,
-// and how control answered it.
+// BadReport is a report about a server that is unreadable or describes another server, with
+// control's answer.
 type BadReport struct {
 	Text   string
 	Status int
-	// Foreign tells that it can be read and is another server's.
+	// Foreign reports that the report is readable and describes another server.
 	Foreign bool
 }
 
-// RoleOrder is an order that an engine got.
+// RoleOrder is an order that an engine received.
 type RoleOrder struct {
 	Server string
 	Holder string
@@ -126,30 +125,30 @@
 	At     time.Duration
 }
 
-// HeldKV is a KV cache that nobody has taken or freed.
+// HeldKV is a KV cache that was neither fetched nor freed.
 type HeldKV struct {
 	Request string
 	MadeAt  time.Duration
 }
 
-// Gap is a time in which a process, or all of control, lacked something.
+// Gap is a time in which a process lacked a table, or control a leader.
 type Gap struct {
 	Process     string
 	Incarnation int
-	// First tells that the process had not had it since its start.
+	// First reports that the process had none since its start.
 	First    bool
 	From, To time.Duration
 }
 
-// Refusal is how often a process has told that a link was refused.
+// Refusal counts the log lines of a process about refused links.
 type Refusal struct {
 	Process string
 	Count   int
-	// First is the line of the log that told it first.
+	// First is the first such line.
 	First string
 }
 
-// History is all that was seen in a run.
+// History is everything that was observed in a run.
 type History struct {
 	Seed       uint64
 	Length     time.Duration
@@ -163,39 +162,40 @@
 	BadReports []BadReport
 	Probes     []Probe
 	Drains     []Drain
-	// Evacuations are those that control has acknowledged.
+	// Evacuations are those that control acknowledged.
 	Evacuations []Evacuation
 	Orders      []RoleOrder
-	// Limits are the limits that servers named, Limited what came to these servers.
+	// Limits are the limits that servers reported, Limited the requests that arrived at these
+	// servers.
 	Limits  []ServerLimit
 	Limited []LimitedArrival
-	// Asked is what came to servers that had said something of themselves.
+	// Asked are the requests to servers that had reported a pause or that they leave.
 	Asked []SelfReportArrival
-	// HeldKV are the KV caches that engines still held for nobody after the end,
-	// and HeldRoom is the number of holds.
+	// HeldKV are the KV caches that engines still held after the end, HeldRoom is the number of
+	// remaining holds.
 	HeldKV   []HeldKV
 	HeldRoom int
 	// Cold are the times in which servers were cold.
 	Cold []ColdSpan
-	// MostHeld are the most bytes that each gateway has held for callers, LeftHeld those that
-	// it still holds after the end.
+	// MostHeld is the maximum number of bytes that each gateway held for callers, LeftHeld the
+	// number of bytes that it still held after the end.
 	MostHeld, LeftHeld map[string]int64
-	// Troubles counts what went wrong at servers by intent: calls, streams, answers that
-	// came again.
+	// Troubles counts the injected disturbances at servers by name, such as refused calls, broken
+	// streams and repeated answers.
 	Troubles map[string]int
-	// Order and Path say how builds were replaced, Skipped is the number of those steps for
-	// which no time was left.
+	// Order and Path describe how builds were replaced. Skipped is the number of replacements for
+	// which no time remained.
 	Order, Path string
 	Skipped     int
-	// NoTable are the times in which a gateway that ran had no table, NoLeader those in
-	// which no replica of control led.
+	// NoTable are the times in which a running gateway had no table, NoLeader those in which no
+	// replica of control was leader.
 	NoTable, NoLeader []Gap
 	Refusals          []Refusal
-	// Exits are the processes that ended by themselves.
+	// Exits are the processes that ended unexpectedly.
 	Exits []string
 }
 
-// recorder collects a history from many goroutines.
+// recorder collects a history from several goroutines.
 type recorder struct {
 	mu    sync.Mutex
 	start time.Time
@@ -204,17 +204,17 @@
 
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
-// length is how long callers send requests.
+// loadDuration returns how long callers send requests.
 func (r *recorder) loadDuration() time.Duration { return r.h.Length }
 
-// add changes the history under its lock.
+// update changes the history under its lock.
 func (r *recorder) update(change func(h *History)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.h)
 }
 
-// count counts what went wrong by intent.
+// countTrouble counts an injected disturbance.
 func (r *recorder) countTrouble(what string) {
 	r.update(func(h *History) {
 		if h.Troubles == nil {
--- a/soak/load.go
+++ b/soak/load.go
@@ -13,55 +13,54 @@
 	"time"
 )
 
-// The load of a run.
+// Constants of the load.
 const (
 	requestsPerSecond = 60
-	// leaveShare is the share of callers that leave before their answer is
-	// whole.
+	// disconnectShare is the share of callers that disconnect before their answer is complete.
 	disconnectShare = 0.06
-	// connections is the number of kept connections of all callers to a gateway.
+	// idleConnections is the number of idle connections that all callers keep to a gateway.
 	idleConnections = 8
 )
 
-// organisations are whose requests come, each as often as it stands here; the last one has
-// no key that any table has held.
+// organisations are the organisations of requests, repeated by their frequency. No table has held a
+// key of the last one.
 var organisations = []string{"one", "one", "one", "two", "two", "two", "two", "hot", "hot", unknownOrganisation}
 
-// Contents of requests. That of deadly ones ends each server which runs it.
+// Contents of requests. deadlyContent crashes each server that runs it.
 const (
 	defaultContent = "x"
 	deadlyContent  = "deadly"
 )
 
-// unknown is the organisation of callers whose key is not known.
+// unknownOrganisation is the organisation of callers with an unknown API key.
 const unknownOrganisation = "nobody"
 
-// Sizes of requests and of the limit of the organisation hot, in tokens. At sixty requests
-// a second it asks for some 2.5 times its limit.
+// Sizes of requests, and the limit of the organisation "hot" in tokens per second. At sixty
+// requests per second it requests about 2.5 times its limit.
 const (
 	requestTokens = 1100
 	promptTokens  = 300
 	hotRate       = 5500
 )
 
-// deadlines are how long callers wait.
+// deadlines are how long callers wait for complete answers.
 var deadlines = map[RequestKind]time.Duration{Checkout: 3 * time.Second, Rates: 3 * time.Second, Review: 8 * time.Second, Desk: 8 * time.Second}
 
-// load sends requests of all kinds to all gateways that take callers.
+// load sends requests of all kinds to all gateways that accept callers.
 type load struct {
 	cluster *cluster
 	rec     *recorder
 	rng     *rand.Rand
-	// faster multiplies the rate.
+	// rateFactor multiplies the request rate.
 	rateFactor atomic.Int64
-	excluded   []atomic.Bool // gateways that callers are not sent to
+	excluded   []atomic.Bool // gateways that are not ready, to which the platform sends no callers
 	clients    []*http.Client
 	wg         sync.WaitGroup
 	lastID     int
 	seed       uint64
-	// texts says what the events of streams hold.
+	// textMarker selects the texts of the events of streams.
 	textMarker string
-	// ended tells that no more requests come.
+	// ended is set once no more requests are sent.
 	ended atomic.Bool
 }
 
@@ -77,7 +76,7 @@
 	return l
 }
 
-// run sends requests until the context ends, and waits for those under way.
+// run sends requests until the context ends, and waits for open ones.
 func (l *load) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := time.Duration(l.rng.ExpFloat64() * float64(time.Second) / float64(requestsPerSecond*l.rateFactor.Load()))
@@ -91,7 +90,7 @@
 	l.wg.Wait()
 }
 
-// one sends one request.
+// sendOne sends one request.
 func (l *load) sendOne() {
 	l.lastID++
 	kinds := []RequestKind{Checkout, Checkout, Rates, Review, Desk, Desk}
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// document is the routing table of a run; each version has a route that no other
-// one has, so that a gateway shows which is in force.
+// tableTemplate is the routing table of a run. Each version has a route that no other version has,
+// which shows which version is in force at a gateway.
 const tableTemplate = `{"version":VERSION,"routes":[
  {"name":"checkout","host":"h","pathPrefix":"/checkout/","kind":"non_idempotent","timeoutMs":3000,"targetLatencyMs":300,"service":"app","maxAttempts":1},
  {"name":"rates","host":"h","pathPrefix":"/rates/","kind":"idempotent","timeoutMs":3000,"targetLatencyMs":300,"service":"app","maxAttempts":2},
@@ -27,8 +27,8 @@
  {"name":"hot","apiKeys":["key-hot"],"unit":"token_stream","plainTokens":200,"ratePerS":HOT,"burst":HOT}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// engineMemory is the memory of an engine in tokens: some six runs, so that engines fill and
-// runs move.
+// engineKVTokens is the memory of an engine in tokens, enough for about six runs, so that engines
+// fill up and runs migrate.
 const engineKVTokens = 3600
 
 func tableText(version int, service string) string {
@@ -37,21 +37,20 @@
 		"KVTOKENS", fmt.Sprint(engineKVTokens), "STRIDE", fmt.Sprint(eventTokens)).Replace(tableTemplate)
 }
 
-// operators change the table, read it, and look which one gateways show.
+// operators change and read the table, and probe which version is in force at the gateways.
 type operators struct {
-	// evacuating is held while the far zone is being evacuated.
+	// evacuationMu is held while the far zone is being evacuated.
 	evacuationMu sync.Mutex
 	cluster      *cluster
 	rec          *recorder
-	// version is the newest that was given out, acked the newest that was
-	// acknowledged.
+	// lastVersion is the newest version assigned, lastAcked the newest one acknowledged.
 	lastVersion atomic.Int64
 	lastAcked   atomic.Int64
 	probeCount  atomic.Int64
 }
 
-// change makes a new table and sends it until it is acknowledged or the time is
-// over, as an operator does who loses answers.
+// putTable creates a new table and sends it until it is acknowledged or the time is over, as an
+// operator does who loses answers.
 func (o *operators) putTable(ctx context.Context, service string) {
 	version := int(o.lastVersion.Add(1))
 	text := tableText(version, service)
@@ -71,7 +70,7 @@
 	o.rec.update(func(h *History) { h.Puts = append(h.Puts, p) })
 }
 
-// read reads the table at one replica of control.
+// readTable reads the table at a replica of control.
 func (o *operators) readTable(ctx context.Context, control int) Read {
 	r := Read{Control: control, Sent: o.rec.now()}
 	status, body, err := o.cluster.call(ctx, http.MethodGet, "http://"+o.cluster.apiAddresses[control]+"/-/config/get", "")
@@ -86,7 +85,7 @@
 	return r
 }
 
-// reads reads the table at all replicas until the context ends.
+// readTables reads the table at the replicas in turn until the context ends.
 func (o *operators) readTables(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		o.readTable(ctx, n%len(o.cluster.apiAddresses))
@@ -94,8 +93,8 @@
 	}
 }
 
-// probe asks each gateway for the route of the newest acknowledged table, and
-// for that of the one before, until the context ends.
+// probeGateways requests from each gateway the route of the newest acknowledged table and that of
+// the table before, until the context ends.
 func (o *operators) probeGateways(ctx context.Context) {
 	for ctx.Err() == nil {
 		newest := int(o.lastAcked.Load())
@@ -121,8 +120,8 @@
 	}
 }
 
-// show asks a gateway for the route that only one table has, and returns the
-// status of the answer; zero if none came.
+// probeStatus requests the route that only one version of the table has from a gateway, and returns
+// the status of the answer, or zero if there was none.
 func (o *operators) probeStatus(ctx context.Context, gateway, version int) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/soak/pauses.go
+++ b/soak/pauses.go
@@ -13,44 +13,44 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// AskedArrival is one request or call that came to a server which had said something of itself, and
-// what its answer said.
+// SelfReportArrival is a request or call that arrived at a server with self-reports, and what its
+// answer reported.
 type SelfReportArrival struct {
 	Server, ID, Path string
 	At               time.Duration
-	// Pause is what a refusal asked for; zero if none, or one that can't be read.
+	// Pause is the pause that a refusal requested; zero if there was none or it is unreadable.
 	Pause time.Duration
-	// Leaving tells that the answer says that the server leaves.
+	// Leaving reports whether the answer reports that the server leaves.
 	Leaving bool
 }
 
-// The page's bounds of what a server gets from a gateway in a pause.
+// Documented bounds of the requests that a server receives from a gateway during a pause.
 const (
 	pauseReactionTime = 500 * time.Millisecond
 	maxPauseRequests  = 2
 )
 
-// pauseSeconds are drawn from.
+// pauseSeconds are the durations of pauses to draw from.
 var pauseSeconds = []float64{0.2, 1, 1, 2, 3, 3, 5}
 
-// pauseManner is how a server asks for pauses.
+// pausePattern is how a server requests pauses.
 type pausePattern int
 
 const (
-	// pausesAlways turns all requests away, for one time.
+	// pauseConstant refuses all requests with the same duration.
 	pauseConstant pausePattern = iota
-	// pausesChanging asks for another time in each refusal.
+	// pauseChanging changes the duration with each refusal.
 	pauseChanging
-	// pausesSome turns one request in three away.
+	// pauseSomeAnswers refuses one request in three.
 	pauseSomeAnswers
-	// pausesBadly names times between that can't be read.
+	// pauseMalformed alternates with unreadable durations.
 	pauseMalformed
 )
 
 var pausePatterns = []pausePattern{pauseConstant, pauseConstant, pauseChanging, pauseSomeAnswers, pauseMalformed}
 
-// pauseSteps draws when servers ask for pauses and say that they leave, by a draw of its own: some
-// of them together.
+// pauseSteps draws when servers request pauses and report that they leave, some of them at the same
+// time, with a random source of its own.
 func pauseSteps(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 13))
 	var out []Step
@@ -77,7 +77,7 @@
 	return out
 }
 
-// askPause has a server ask for pauses for a time.
+// requestPauses makes a server request pauses for a time.
 func (f *faultInjector) requestPauses(ctx context.Context, step Step) {
 	b, _ := f.cluster.servers[step.Target].current()
 	b.SetSays(pauseAnswers(step.Seed))
@@ -86,7 +86,7 @@
 	f.rec.countTrouble("asked for pauses")
 }
 
-// pauseSays returns what the answers of a server say.
+// pauseAnswers returns a function that gives what the answers of a server report.
 func pauseAnswers(draw uint64) func(*http.Request) standin.Says {
 	r := rand.New(rand.NewPCG(draw, 14))
 	pattern := pausePatterns[r.IntN(len(pausePatterns))]
@@ -110,8 +110,8 @@
 	}
 }
 
-// sayLeaving has a server say in its answers that it leaves, all of them or some, while its
-// heartbeats say that it is ready; then it is replaced.
+// reportLeaving makes a server report in all or some of its answers that it leaves, while its
+// heartbeats report that it is ready; then it is replaced.
 func (f *faultInjector) reportLeaving(ctx context.Context, step Step) {
 	srv := f.cluster.servers[step.Target]
 	srv.lifeMu.Lock()
@@ -130,7 +130,7 @@
 	f.rec.countTrouble("said that it leaves")
 }
 
-// askedArrival returns an arrival as it is judged.
+// newSelfReportArrival converts an arrival for the checks.
 func (cl *cluster) newSelfReportArrival(b *standin.Backend, a standin.Asked) SelfReportArrival {
 	out := SelfReportArrival{Server: b.ID, ID: a.ID, Path: a.Path, At: a.At.Sub(cl.rec.start), Leaving: len(a.Leaving) > 0}
 	if len(a.RetryAfter) == 1 && strings.Trim(a.RetryAfter[0], "0123456789.") == "" {
@@ -141,18 +141,20 @@
 	return out
 }
 
-// wayKinds are the steps at a server that hold up, or lose, what passes between it and gateways.
+// linkKinds are the steps that delay or lose data between a server and gateways.
 var linkKinds = []Kind{SilenceLink, SilenceAnswers, ResetLink, DelayLink, KillServer, DuplicateAnswers}
 
-// heldUp tells whether what passes between a server and gateways was held up or lost in a time.
+// linkDisturbed reports whether data between a server and gateways was delayed or lost in a time
+// span.
 func (h *History) linkDisturbed(server string, from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Outages, func(o Outage) bool {
 		return o.Process == server && slices.Contains(linkKinds, o.Kind) && o.From <= to && o.To >= from
 	})
 }
 
-// checkPauses wants no gateway to send a server more than two requests in a pause that the server
-// has asked that gateway for, unless the gateway was restarted or paused, or the way was cut.
+// checkPauses checks that no gateway sends a server more than maxPauseRequests during a pause that
+// the server has requested from that gateway, unless the gateway was restarted or paused or the
+// link was disturbed.
 func checkPauses(h *History) []string {
 	gateways := map[string]string{}
 	for _, q := range h.Requests {
@@ -168,13 +170,13 @@
 	var out []string
 	for p, list := range arrivals {
 		if worst, n := worstPause(h, p.server, p.gateway, list); n > maxPauseRequests {
-			out = append(out, fmt.Sprintf("%s got %d requests from %s in the %v after %v, for which it had asked to be left alone", p.server, n, p.gateway, worst.Pause, worst.At))
+			out = append(out, fmt.Sprintf("%s received %d requests from %s in the pause of %v that it had requested at %v", p.server, n, p.gateway, worst.Pause, worst.At))
 		}
 	}
 	return out
 }
 
-// mostInPause returns the pause in which most came, and how many did.
+// worstPause returns the pause with the most requests and their number.
 func worstPause(h *History, server, gateway string, list []SelfReportArrival) (worst SelfReportArrival, count int) {
 	for i, a := range list {
 		end := a.At + a.Pause
@@ -194,15 +196,15 @@
 	return worst, count
 }
 
-// checkSaidLeaving wants no request that was sent later than drainBound after a gateway has passed on
-// an answer of a server that says that it leaves to reach that server from that gateway, unless the
-// gateway was restarted or paused since.
+// checkReportedLeaving checks that a gateway that has forwarded an answer in which a server reports
+// that it leaves sends that server no request more than drainBound later, unless the gateway was
+// restarted or paused since.
 func checkReportedLeaving(h *History) []string {
 	requests := map[string]Request{}
 	for _, q := range h.Requests {
 		requests[q.ID] = q
 	}
-	notifiedAt := map[string]time.Duration{} // when each gateway had passed on such an answer, by server
+	notifiedAt := map[string]time.Duration{} // when each gateway had forwarded such an answer, by server and gateway
 	var out []string
 	for _, a := range h.Asked {
 		q, known := requests[a.ID]
@@ -211,7 +213,7 @@
 		}
 		key := a.Server + " " + gatewayName(q.Gateway)
 		if at, notified := notifiedAt[key]; notified && q.Sent > at+drainBound && !h.disturbed(gatewayName(q.Gateway), a.At, a.At-at) {
-			out = append(out, fmt.Sprintf("%s reached %s, which had said to %s at %v that it leaves", a.ID, a.Server, gatewayName(q.Gateway), at))
+			out = append(out, fmt.Sprintf("%s reached %s, which had reported to %s at %v that it leaves", a.ID, a.Server, gatewayName(q.Gateway), at))
 		}
 		passed := a.Leaving && q.Status != 0 && !q.Cut && q.LeftAt == 0
 		if at, notified := notifiedAt[key]; passed && (!notified || q.Ended < at) {
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -10,8 +10,7 @@
 // Kind is a kind of fault or of planned work.
 type Kind string
 
-// The kinds. Planned work is what an operator does on purpose: it must cut no
-// request.
+// The kinds. Planned work is done by operators on purpose and must cut no request.
 const (
 	KillGateway      Kind = "kill gateway"
 	PauseGateway     Kind = "pause gateway"
@@ -48,36 +47,36 @@
 	ReportLeaving    Kind = "say leaving"
 )
 
-// Planned tells whether a kind is planned work.
+// Planned reports whether a kind is planned work.
 func (k Kind) Planned() bool {
 	return slices.Contains([]Kind{StopGateway, Reload, DrainServer, ChangeTable, RaceTables, InvalidTable, Upgrade, Downgrade, EvacuateZone}, k)
 }
 
-// Replaces tells whether a kind replaces a process by one of the other build.
+// Replaces reports whether a kind replaces a process by one of the other build.
 func (k Kind) Replaces() bool { return k == Upgrade || k == Downgrade }
 
-// Step is one fault, or one piece of planned work, of a plan.
+// Step is a fault or a piece of planned work in a plan.
 type Step struct {
 	At   time.Duration `json:"at"`
 	For  time.Duration `json:"for"`
 	Kind Kind          `json:"kind"`
-	// Target is the number of the process or server that is meant.
+	// Target is the index of the process or server.
 	Target int `json:"target"`
-	// Process is what a step replaces: the name of a process, or which replica of control
-	// is meant, if that is known only when it is played.
+	// Process is the process that the step replaces: its name, or leaderName or followerName if the
+	// replica of control is chosen only when the step runs.
 	Process string `json:"process,omitempty"`
-	// Wave orders the steps that replace: those of a wave are made beside each other, and
-	// waves one after the other.
+	// Wave orders replacements: those of a wave run in parallel, the waves in sequence.
 	Wave int `json:"wave,omitempty"`
-	// Draw decides what a server says of itself, of a step that has it say something.
+	// Seed determines the details of the step, such as what a server reports about itself.
 	Seed uint64 `json:"draw,omitempty"`
-	// Empty tells that the process starts on an empty disk, as on a new VM.
+	// Empty reports whether the process starts on an empty disk, as on a new VM.
 	Empty bool `json:"empty,omitempty"`
-	// Hit is how long after its begin the step is hit by a kill; zero if it is not.
+	// KillAfter is the time after the beginning of the step at which its process is killed; zero if
+	// it is not.
 	KillAfter time.Duration `json:"hit,omitempty"`
 }
 
-// String describes a step for people.
+// String returns the step as text.
 func (s Step) String() string {
 	if s.Kind.Replaces() {
 		return fmt.Sprintf("wave %2d  %s %s after %.2f s, empty disk %t, killed after %.2f s", s.Wave, s.Kind, s.Process, s.For.Seconds(), s.Empty, s.KillAfter.Seconds())
@@ -93,10 +92,10 @@
 // DefaultShape is a deployment that fits a small machine.
 var DefaultShape = Shape{Controls: 3, Gateways: 3, Prefills: 2, Decodes: 4, Apps: 3}
 
-// Processes is the number of processes of the system.
+// Processes returns the number of ledgepin processes.
 func (s Shape) Processes() int { return s.Controls + s.Gateways }
 
-// serversFrom returns the numbers of an engine, or of some plain servers from one on.
+// serversFrom returns the index of an engine, or the indexes of n plain servers from first on.
 func (s Shape) serversFrom(first, n int) []int {
 	engines := s.Prefills + s.Decodes
 	if first < engines {
@@ -109,24 +108,24 @@
 	return out
 }
 
-// Times of a plan.
+// Times of a plan without faults.
 const (
-	// calmStart is the time before the first fault, calmEnd that after the
-	// last one is over.
+	// faultFreeStart is the time before the first fault, faultFreeEnd the time after the last one
+	// is over.
 	faultFreeStart = 1500 * time.Millisecond
 	faultFreeEnd   = 6 * time.Second
 )
 
-// faultKinds are drawn from; a kind that stands twice comes twice as often.
+// faultKinds are the kinds to draw from. A kind that is listed twice is twice as frequent.
 var faultKinds = []Kind{
 	KillGateway, PauseGateway, StopGateway, StopGateway, Reload, KillControl, KillAllControl, PauseControl, WipeControl,
 	KillServer, DrainServer, DrainServer, RefuseRequests, LoseAnswers, CutStreams, SilenceLink, SilenceAnswers, ResetLink, DelayLink,
 	ChangeTable, ChangeTable, RaceTables, InvalidTable, Burst,
 }
 
-// NewPlan draws a plan: about one step each 0.8 s, in series and overlapping.
-// At most one replica of control at a time is lost or held up, and none while
-// another recovers, but for the death of all of them with their disks kept.
+// NewPlan draws a plan with about one step per 0.8 s; steps follow each other or overlap. At most
+// one replica of control is lost or delayed at a time, and none while another recovers, except when
+// all of them are killed with their disks kept.
 func NewPlan(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var out []Step
@@ -156,11 +155,11 @@
 	return out
 }
 
-// streamKinds are drawn from for the engines alone, by a draw of their own.
+// streamKinds are the kinds to draw from for engines only, with a random source of its own.
 var streamKinds = []Kind{DisturbCalls, DisturbCalls, BreakStreams, BreakStreams, CloseStreams, DuplicateAnswers, DuplicateAnswers, ResetLink, DrainServer}
 
-// streamSteps draws what befalls the engines' streams, and the calls about them: about one
-// step each second.
+// streamSteps draws the disturbances of the engines' streams and of the calls about them, about one
+// per second.
 func streamSteps(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 5))
 	var out []Step
@@ -173,8 +172,7 @@
 	return out
 }
 
-// evacuations draws when the far zone is evacuated, one time after the other, by a draw of its
-// own.
+// evacuationSteps draws evacuations of the far zone in sequence, with a random source of its own.
 func evacuationSteps(seed uint64, length time.Duration) []Step {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var out []Step
@@ -189,5 +187,5 @@
 	}
 }
 
-// controlRecovery is how long a replica of control may take to be a voter again.
+// controlRecoveryTime is how long a replica of control may take to become a voter again.
 const controlRecoveryTime = 5 * time.Second
--- a/soak/process.go
+++ b/soak/process.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// build says which of two builds a process runs.
+// build selects one of two builds for a process.
 type build int
 
 const (
@@ -18,36 +18,35 @@
 	treeBuild
 )
 
-// program is a binary with a file of settings for it.
+// program is a binary with a settings file.
 type program struct{ binary, settings string }
 
-// process is one process of the system. It is started, signalled and ended by
-// its own ID only.
+// process is a ledgepin process. It is started, signalled and ended by its own ID only.
 type process struct {
 	name string
-	// builds are the production build and the tree's, each with settings that it can read.
+	// builds are the production build and the tree's build, each with settings that it can read.
 	builds  [2]program
 	logPath string
-	// operators is the address of its operators' listener.
+	// operators is the address of the process's listener for operators.
 	operators string
 
-	// life is held by the step of a plan that ends and starts the process.
+	// lifeMu is held by the step of a plan that ends and starts the process.
 	lifeMu sync.Mutex
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// ended is closed when the process has ended.
+	// done is closed when the process has ended.
 	done chan struct{}
-	// wanted tells that the end of the process is asked for.
+	// endRequested reports that the end of the process was requested.
 	endRequested bool
 	incarnation  int
 	build        build
 	started      time.Time
-	// onExit is told when a process ends that was not asked to.
+	// onExit is called when a process ends unexpectedly.
 	onExit func(name string, err error)
 }
 
-// start runs the process, with its log appended to a file.
+// start starts the process and appends its output to the log file.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +57,7 @@
 	run := p.builds[p.build]
 	cmd := exec.Command(run.binary, "run", "--config", run.settings)
 	cmd.Stdout, cmd.Stderr = log, log
-	// The process ends with this one, however that ends.
+	// The process ends with the soak, even if the soak is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		_ = log.Close()
@@ -92,7 +91,7 @@
 	}
 }
 
-// end asks the process to end, by a signal, and waits until it has.
+// stop sends the process a signal that ends it, and waits for its end.
 func (p *process) stop(s syscall.Signal) {
 	p.mu.Lock()
 	p.endRequested = true
@@ -105,7 +104,7 @@
 	<-done
 }
 
-// kill kills the process and does not wait; it returns how often it had been started.
+// kill kills the process without waiting. It returns how often the process had been started.
 func (p *process) kill() int {
 	p.mu.Lock()
 	p.endRequested = true
@@ -115,14 +114,15 @@
 	return n
 }
 
-// number returns how often the process has been started.
+// incarnations returns how often the process has been started.
 func (p *process) incarnations() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.incarnation
 }
 
-// state returns the number of the present start, its time, and whether the process runs.
+// state returns the number of the current incarnation, its start time, and whether the process
+// runs.
 func (p *process) state() (incarnation int, started time.Time, running bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,21 +136,21 @@
 	return p.incarnation, p.started, running
 }
 
-// use has the next start be of a build.
+// setBuild sets the build of the next incarnation.
 func (p *process) setBuild(b build) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.build = b
 }
 
-// runsOn returns the build of the process.
+// currentBuild returns the build of the process.
 func (p *process) currentBuild() build {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.build
 }
 
-// newProcess writes the settings of a process into a folder, for each build its own.
+// createProcess writes the settings of a process for each build into a folder.
 func createProcess(binaries [2]string, dir, name string, settings [2]string) (*process, error) {
 	p := &process{name: name, logPath: filepath.Join(dir, name+".log")}
 	for b, file := range []string{name + ".production.yaml", name + ".yaml"} {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,18 +8,16 @@
 	"time"
 )
 
-// proxy forwards connections to a server on the loopback address, and disturbs
-// them when it is told to.
+// proxy forwards connections to a server on the loopback address and disturbs them on request.
 type proxy struct {
 	ln     net.Listener
 	target string
 
 	mu sync.Mutex
-	// silent and silentBack hold bytes up on the way to the server, and on the
-	// way back.
+	// holdRequests and holdAnswers hold back data to the server and from the server.
 	holdRequests, holdAnswers bool
 	delay                     time.Duration
-	// surplus has an answer come again in the place of the next one.
+	// duplicate sends an answer again in place of the next one.
 	duplicate    bool
 	countTrouble func(what string)
 	conns        map[net.Conn]bool
@@ -27,7 +25,7 @@
 	wake         *sync.Cond
 }
 
-// newProxy forwards to target.
+// newProxy returns a proxy that forwards to target.
 func newProxy(target string, countTrouble func(what string)) (*proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +39,7 @@
 
 func (p *proxy) addr() string { return p.ln.Addr().String() }
 
-// set changes how connections are disturbed.
+// disturb sets how connections are disturbed.
 func (p *proxy) disturb(holdRequests, holdAnswers bool, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +47,7 @@
 	p.wake.Broadcast()
 }
 
-// reset breaks all connections, so that both ends see a reset.
+// reset resets all connections at both ends.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +80,7 @@
 func (p *proxy) forward(in net.Conn) {
 	out, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		// A server that is dead resets.
+		// A dead server resets connections.
 		setReset(in)
 		_ = in.Close()
 		return
@@ -101,7 +99,8 @@
 	}, false)
 }
 
-// pass waits while a direction is silent, and for the delay.
+// hold waits while a direction is held back, and for the delay. It returns false once the proxy is
+// closed.
 func (p *proxy) hold(toClient bool) bool {
 	p.mu.Lock()
 	for !p.closed && (p.holdRequests && !toClient || p.holdAnswers && toClient) {
@@ -137,7 +136,7 @@
 	}
 }
 
-// setReset has the close of a connection be a reset, as the other side saw one.
+// setReset makes the close of a connection a reset.
 func setReset(c net.Conn) {
 	if l, ok := c.(interface{ SetLinger(seconds int) error }); ok {
 		_ = l.SetLinger(0)
--- a/soak/report.go
+++ b/soak/report.go
@@ -18,11 +18,10 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// bin is the span of time that one point of a plot stands for.
+// plotBin is the time span of one point of a plot.
 const plotBin = 500 * time.Millisecond
 
-// reportPage is a run as a page: its counts, plots with the faults drawn in, and
-// the plan.
+// reportPage is the report of a run: its counts, plots with the faults, and the plan.
 var reportPage = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Soak, seed {{.Seed}}</title>
 <style>body{font-family:sans-serif;max-width:1100px;margin:2em auto}img{width:100%}td,th{text-align:left;padding:0 1em 0 0}.broken{color:#a00}</style></head>
@@ -39,7 +38,7 @@
 	PNG   string
 }
 
-// WriteReport writes a page of a run into a file.
+// WriteReport writes the report of a run to a file.
 func WriteReport(path string, h *History, violations []Violation) error {
 	var images []plotImage
 	for _, p := range []struct {
@@ -71,7 +70,7 @@
 	return os.WriteFile(path, page.Bytes(), 0o600)
 }
 
-// line is one line of a plot.
+// line is a line of a plot.
 type line struct {
 	name   string
 	color  color.Color
@@ -86,8 +85,7 @@
 	shade  = color.NRGBA{R: 60, G: 60, B: 60, A: 28}
 )
 
-// answerLines counts served, refused and failed requests by the time of their
-// end.
+// answerLines counts served, refused and failed requests by their end time.
 func answerLines(h *History) []line {
 	lines := []line{{name: "served", color: green}, {name: "refused", color: orange}, {name: "failed", color: red}}
 	counts := make([]map[int]int, len(lines))
@@ -115,7 +113,7 @@
 	return lines
 }
 
-// latencyLines gives the median and the 95th percentile of served requests.
+// latencyLines returns the median and the 95th percentile of the latency of served requests.
 func latencyLines(h *History, kinds ...RequestKind) []line {
 	latencies := map[int][]float64{}
 	for _, q := range h.Requests {
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -12,9 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestShortRun plays a short run with real processes: a planned stop, a death of
-// all of control beside a change of the table, a lost disk, and a server that
-// leaves while a link is reset. Beside that the calls and streams of engines go wrong, while callers come back.
+// TestShortRun plays a short run with real processes: a graceful stop, a kill of all replicas of
+// control during a change of the table, an invalid table, a server that leaves while a link is
+// reset, and kills of a server and a gateway. Calls and streams of engines are disturbed while
+// callers reconnect.
 func TestShortRun(t *testing.T) {
 	plan := []Step{
 		{At: 1 * second, Kind: StopGateway, Target: 0},
@@ -42,8 +43,8 @@
 	assert.Equal(t, strings.Count(string(page), "<img"), 3)
 }
 
-// TestLimitedServers has all servers of the plain service, and an engine, name limits in all ways,
-// while a gateway and a replica of control are killed and the table changes.
+// TestServersThatReportLimits checks a run in which all plain servers and an engine report limits
+// in all patterns, while a gateway and a replica of control are killed and the table changes.
 func TestServersThatReportLimits(t *testing.T) {
 	plan := []Step{
 		{At: 5 * second, Kind: KillGateway, Target: 1, For: second},
@@ -62,8 +63,9 @@
 	assert.Equal(t, h.Troubles["named limit"], 7)
 }
 
-// TestPausesAndLeavingServers has all servers of the plain service, and engines, ask for pauses in all
-// ways and say that they leave, while a gateway and a replica of control are killed.
+// TestServersThatRequestPausesOrLeave checks a run in which all plain servers and some engines
+// request pauses in all patterns and report that they leave, while a gateway and a replica of
+// control are killed.
 func TestServersThatRequestPausesOrLeave(t *testing.T) {
 	plan := []Step{
 		{At: 5 * second, Kind: KillGateway, Target: 1, For: second},
@@ -92,10 +94,10 @@
 	assert.Equal(t, h.Troubles["asked for pauses"]+h.Troubles["said that it leaves"], 8)
 }
 
-// sameBuild stands for the tree's own binary as the production build.
+// treeAsProduction selects the tree's own binary as the production build.
 const treeAsProduction = "the tree's own"
 
-// playShort plays a short run with a fixed plan and wants no rule broken.
+// runShort plays a short run with a fixed plan and fails the test if a rule is broken.
 func runShort(t *testing.T, o Options) (h *History, broken []Violation, dir string) {
 	t.Helper()
 	o.Dir, o.Seed, o.Shape = t.TempDir(), 1, DefaultShape
@@ -121,7 +123,7 @@
 	return h, broken, o.Dir
 }
 
-// overAllEngines has kinds of trouble at all engines of a short run.
+// stepsAtAllEngines returns steps of some kinds at all engines of a short run.
 func stepsAtAllEngines(kinds ...Kind) []Step {
 	var out []Step
 	for n := range DefaultShape.Prefills + DefaultShape.Decodes {
@@ -132,20 +134,20 @@
 	return out
 }
 
-// TestTextsWithFields wants streams to go on after the right event though their texts look
-// like fields of events.
+// TestTextsLikeEventFieldsResumeAtTheRightEvent guards against texts that are mistaken for event
+// fields: streams must resume after the right event.
 func TestTextsLikeEventFieldsResumeAtTheRightEvent(t *testing.T) {
 	runShort(t, Options{Length: 8 * time.Second, Plan: stepsAtAllEngines(BreakStreams)})
 }
 
-// TestStreamsClosedEarly wants no stream to end as whole that its engine closes in the middle
-// of an event, where the end of the connection is that of the answer.
+// TestStreamClosedEarlyIsNotComplete guards against a stream that ends as complete although its
+// engine closed it in the middle of an event, where the end of the connection ends the answer.
 func TestStreamClosedEarlyIsNotComplete(t *testing.T) {
 	runShort(t, Options{Length: 8 * time.Second, Plan: stepsAtAllEngines(CloseStreams), PlainTexts: true})
 }
 
-// TestAnswersThatComeAgain wants an answer that comes once more, in the place of the next
-// one, to be taken for no other request's.
+// TestDuplicateAnswerReachesNoOtherRequest guards against an answer that a server sends again and
+// that is then taken for the answer to the next request.
 func TestDuplicateAnswerReachesNoOtherRequest(t *testing.T) {
 	plan := append(stepsAtAllEngines(DuplicateAnswers), Step{At: second, Kind: Burst, For: 5 * second})
 	runShort(t, Options{Length: 8 * time.Second, Plan: plan, PlainTexts: true})
--- a/soak/server_limits.go
+++ b/soak/server_limits.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// ServerLimit is a limit that a server named in all its answers during a time.
+// ServerLimit is a limit that a server reported in all its answers during a time.
 type ServerLimit struct {
 	Server string
-	// First is when the server began to name limits.
+	// First is when the server began to report limits.
 	First, From, To time.Duration
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
 }
 
-// LimitedArrival is one request or call that came to a server while that had limits to name.
+// LimitedArrival is a request or call that arrived at a server while that reported limits.
 type LimitedArrival struct {
 	Server, ID, Path string
-	// Named tells that the answer names a limit.
+	// Named reports whether the answer had a limit.
 	Named bool
 	At    time.Duration
 }
 
-// The page's bounds of what a limited server gets, and a gateway's time to heed what it has
-// passed on.
+// Documented bounds of the requests that a limited server receives. limitReactionTime is a
+// gateway's time to apply a limit that it has forwarded.
 const (
 	limitSettleTime   = 3 * time.Second
 	limitWindow       = 4 * time.Second
@@ -35,35 +35,35 @@
 	limitReactionTime = 500 * time.Millisecond
 )
 
-// limitRates are drawn from.
+// limitRates are the rates to draw from, in requests per second.
 var limitRates = []float64{0, 0.2, 1, 1, 2.5, 2.5, 4.1, 20}
 
-// limitManner is how a server names its limits.
+// limitPattern is how a server reports its limits.
 type limitPattern int
 
 const (
-	// namesAlways names one limit in each answer.
+	// limitConstant reports one limit in each answer.
 	limitConstant limitPattern = iota
-	// namesChanging names another limit after a while.
+	// limitChanging changes the limit after a while.
 	limitChanging
-	// namesAtTimes names a limit for a while, none for a while, and so on.
+	// limitIntermittent alternates between times with a limit and times without.
 	limitIntermittent
-	// namesInSome names a limit in some answers.
+	// limitInSomeAnswers reports a limit in some answers only.
 	limitInSomeAnswers
-	// namesBadly names what can't be read between.
+	// limitMalformed alternates with unreadable limits.
 	limitMalformed
 )
 
-// limitManners are drawn from; what servers get is judged under the first two.
+// limitPatterns are the patterns to draw from. The checks apply to the first two patterns.
 var limitPatterns = []limitPattern{limitConstant, limitConstant, limitConstant, limitChanging, limitChanging, limitIntermittent, limitInSomeAnswers, limitMalformed}
 
-// limitSteps draws when servers name limits, by a draw of its own: some of them at the same time,
-// and for so long that what they get is judged.
+// limitSteps draws when servers report limits, with a random source of its own. Some do so at the
+// same time, and for long enough that the checks apply.
 func limitSteps(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 9))
 	var out []Step
 	engines := shape.Prefills + shape.Decodes
-	freeAt := map[int]time.Duration{} // when each server names none any more
+	freeAt := map[int]time.Duration{} // when each server reports no limit any more
 	for at := time.Duration(float64(faultFreeStart) * (0.5 + r.Float64())); at < length-faultFreeEnd; at += time.Duration(float64(6*time.Second) * r.Float64()) {
 		d := limitSettleTime + time.Duration((4+6*r.Float64())*float64(time.Second))
 		first, n := engines+r.IntN(shape.Apps), 1+r.IntN(shape.Apps)
@@ -74,14 +74,14 @@
 			if at < freeAt[target] {
 				continue
 			}
-			freeAt[target] = at + d + 2*time.Second // it ends late if it names none at times
+			freeAt[target] = at + d + 2*time.Second // an intermittent pattern ends late
 			out = append(out, Step{At: at, For: min(d, length-at), Kind: ReportLimit, Target: target, Seed: r.Uint64()})
 		}
 	}
 	return out
 }
 
-// nameLimit has a server name limits for a time.
+// reportLimit makes a server report limits for a time.
 func (f *faultInjector) reportLimit(ctx context.Context, step Step) {
 	r := rand.New(rand.NewPCG(step.Seed, 10))
 	pattern := limitPatterns[r.IntN(len(limitPatterns))]
@@ -111,7 +111,7 @@
 
 func noLimit() []string { return nil }
 
-// limitValues returns what the answers of a server name.
+// limitValues returns a function that gives the limits in the answers of a server.
 func limitValues(pattern limitPattern, rate float64, draw uint64) func() []string {
 	text := strconv.FormatFloat(rate, 'f', -1, 64)
 	bad := [][]string{{""}, {"many"}, {"-1"}, {"1e400"}, {text, text + "1"}, {"Inf"}}
@@ -128,9 +128,9 @@
 	}
 }
 
-// checkServerLimits wants no server to get more than it names from the gateways that have passed
-// on such an answer, and were neither restarted nor paused since. Calls of a gateway's own count
-// too; those of control are reports and orders.
+// checkServerLimits checks that no server receives more than its limit from the gateways that have
+// forwarded an answer with the limit and were neither restarted nor paused since. Calls of the
+// gateways themselves count too; calls of control are reports and orders.
 func checkServerLimits(h *History) []string {
 	gateways := map[string]string{}
 	for _, q := range h.Requests {
@@ -143,7 +143,7 @@
 		if a.Path == "/-/report" || a.Path == "/-/order" {
 			continue
 		}
-		if notifiedAt[a.Server] == nil || !a.Named { // it names none any more
+		if notifiedAt[a.Server] == nil || !a.Named { // it reports no limit any more
 			notifiedAt[a.Server] = map[string]time.Duration{}
 		}
 		at, notified := notifiedAt[a.Server][g]
@@ -162,7 +162,7 @@
 				continue
 			}
 			if n := countWithin(list[:i+1], to-limitWindow, to+1); float64(n) > allowed {
-				out = append(out, fmt.Sprintf("%s got %d requests in the %v before %v from gateways that it had told, allowed %.1f", server, n, limitWindow, to, allowed))
+				out = append(out, fmt.Sprintf("%s received %d requests in the %v before %v from gateways that had received its limit, allowed %.1f", server, n, limitWindow, to, allowed))
 				break
 			}
 		}
@@ -170,8 +170,9 @@
 	return out
 }
 
-// allowedBy returns the requests that a server may have had in a window that ends at a time, if it
-// named limits all the time from limitContact before its end on.
+// allowedRequests returns how many requests a server may have received in the window that ends at a
+// time. It returns false unless the server reported limits during the whole window, or since it
+// began to, and began at least limitSettleTime before the window's end.
 func (h *History) allowedRequests(server string, to time.Duration) (float64, bool) {
 	from, rate := to-limitWindow, -1.0
 	first := time.Duration(-1)
@@ -185,7 +186,7 @@
 			reported += min(l.To, to) - max(l.From, from, l.First)
 		}
 	}
-	const gap = 50 * time.Millisecond // between the ends of two limits
+	const gap = 50 * time.Millisecond // between the end of a limit and the start of the next one
 	continuous := reported+gap >= to-max(from, first)
 	if first < 0 || !continuous || to < first+limitSettleTime {
 		return 0, false
--- a/soak/slow_readers.go
+++ b/soak/slow_readers.go
@@ -13,21 +13,21 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// Callers who read large answers slowly, and what gateways may hold for callers.
+// Callers that read large answers slowly, and the bound of the memory that gateways may hold for
+// callers.
 const (
 	slowReaderCount  = 30
 	largeAnswerBytes = 1 << 20
-	// gatewayMemory is that of a gateway's process in MB: less than the slow readers of two
-	// steps want.
+	// gatewayMemoryMB is the memory of a gateway process in MB, less than the slow readers of two
+	// steps require.
 	gatewayMemoryMB = 48
-	// heldMost is the part of it that is for callers, as the settings have it if they say
-	// nothing.
+	// maxHeldBytes is the share of it for callers, which is the default of the settings.
 	maxHeldBytes = gatewayMemoryMB * 1000 * 1000 * 4 / 10
-	// slowestServer is the longest pause in the middle of a server's answers.
+	// maxServerPause is the longest pause in the middle of a server's answer.
 	maxServerPause = 1200 * time.Millisecond
 )
 
-// slowSteps draws when callers and servers are slow, by a draw of its own.
+// slowSteps draws when callers and servers are slow, with a random source of its own.
 func slowSteps(seed uint64, length time.Duration, shape Shape) []Step {
 	r := rand.New(rand.NewPCG(seed, 11))
 	var out []Step
@@ -42,7 +42,7 @@
 	return out
 }
 
-// slowServer has a plain server pause in the middle of its answers for a time.
+// slowServer makes a plain server pause in the middle of its answers for a time.
 func (f *faultInjector) slowServer(ctx context.Context, step Step) {
 	b, _ := f.cluster.servers[step.Target].current()
 	r := rand.New(rand.NewPCG(step.Seed, 12))
@@ -51,8 +51,8 @@
 	b.SetSlow(0)
 }
 
-// slowCallers has callers ask a gateway for large answers, read some of them or nothing, and
-// leave.
+// runSlowReaders makes callers request large answers from a gateway, read a part or nothing, and
+// disconnect.
 func (f *faultInjector) runSlowReaders(ctx context.Context, step Step) {
 	if f.load.excluded[step.Target].Load() {
 		return
@@ -68,7 +68,7 @@
 	<-ctx.Done()
 }
 
-// slowly plays one caller who reads slowly until the context ends, and leaves then.
+// runSlowReader runs a caller that reads slowly until the context ends and then disconnects.
 func (l *load) runSlowReader(ctx context.Context, q Request, pause time.Duration) {
 	q.Sent = l.rec.now()
 	status, body, err := l.readSlowly(ctx, &q, pause)
@@ -110,7 +110,7 @@
 	}
 }
 
-// heldBytes returns what a gateway says that it holds for callers.
+// heldBytes returns the number of bytes that a gateway reports that it holds for callers.
 func (cl *cluster) heldBytes(ctx context.Context, n int) (int64, bool) {
 	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
@@ -128,7 +128,8 @@
 	return held, true
 }
 
-// watchHeld notes the most that a gateway holds for callers, until the context ends.
+// watchHeld records the maximum number of bytes that a gateway holds for callers, until the context
+// ends.
 func (cl *cluster) watchHeld(ctx context.Context, n int) {
 	name := gatewayName(n)
 	for ; ctx.Err() == nil; sleep(ctx, pollInterval) {
@@ -138,7 +139,7 @@
 	}
 }
 
-// checkHeld wants gateways to hold no more for callers than they may, and nothing when all
+// checkHeldBytes checks that gateways hold no more for callers than allowed, and nothing once all
 // requests have ended.
 func checkHeldBytes(h *History) []string {
 	var out []string
@@ -149,7 +150,7 @@
 	}
 	for name, held := range h.LeftHeld {
 		if held > 0 {
-			out = append(out, fmt.Sprintf("%s holds %d bytes for nobody", name, held))
+			out = append(out, fmt.Sprintf("%s still holds %d bytes after all requests have ended", name, held))
 		}
 	}
 	return out
--- a/soak/stream_writer.go
+++ b/soak/stream_writer.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// form writes a stream in another form, or breaks it.
+// streamWriter writes a stream in another framing, or breaks it.
 type streamWriter struct {
 	http.ResponseWriter
-	// breakAt is the number of bytes after which the stream breaks; below zero if it does
-	// not. Closes tells that it is closed there and not reset, if it is in the middle of an
-	// event; lingers tells that the run goes on for a while, as at an engine that notices
-	// late that nobody reads.
+	// breakAt is the number of bytes after which the stream breaks, negative if it does not. With
+	// closeAtBreak, a stream that breaks in the middle of an event is closed instead of reset. With
+	// lingerAfterBreak, the run continues for a while, as at an engine that notices late that its
+	// caller disconnected.
 	breakAt                        int
 	closeAtBreak, lingerAfterBreak bool
-	// unframed has the end of the connection be that of the stream, length has the length
-	// told if it is above zero.
+	// closeDelimited makes the end of the connection end the stream. A contentLength above zero is
+	// sent as Content-Length.
 	closeDelimited bool
 	contentLength  int
 
@@ -30,13 +30,13 @@
 	buf                     *bufio.ReadWriter
 }
 
-// lingerTime is how long a run goes on at most that nobody reads.
+// lingerTime is the longest time for which a run continues after its stream broke.
 const lingerTime = 300 * time.Millisecond
 
-// Unwrap lets the server's controls through.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (sw *streamWriter) Unwrap() http.ResponseWriter { return sw.ResponseWriter }
 
-// FlushError sends what was written.
+// FlushError sends buffered data.
 func (sw *streamWriter) FlushError() error {
 	switch {
 	case sw.broken:
@@ -47,7 +47,8 @@
 	return http.NewResponseController(sw.ResponseWriter).Flush()
 }
 
-// start writes the head, if the answer is a run's.
+// startResponse sets the framing and writes the header if needed. An answer that is not a run's
+// stays as it is.
 func (sw *streamWriter) startResponse() {
 	sw.responseStarted = true
 	if sw.Header().Get(headers.Signature) == "" {
@@ -89,7 +90,7 @@
 	n, err := sw.writer().Write(p)
 	sw.written += n
 	if err != nil {
-		panic(http.ErrAbortHandler) // nobody reads any more
+		panic(http.ErrAbortHandler) // the connection is closed
 	}
 	if breaks {
 		sw.breakStream(p)
@@ -104,7 +105,7 @@
 	return sw.ResponseWriter
 }
 
-// breakOff breaks the stream after a part of an event.
+// breakStream breaks the stream in the middle of an event.
 func (sw *streamWriter) breakStream(rest []byte) {
 	_ = sw.FlushError()
 	sw.broken, sw.brokenAt = true, time.Now()
@@ -126,7 +127,7 @@
 	}
 }
 
-// end closes a stream without a frame: well, or with a reset if its run was stopped.
+// finish closes a close-delimited stream, with a reset if its run was aborted.
 func (sw *streamWriter) finish() {
 	aborted := recover()
 	if sw.conn != nil && !sw.broken {
@@ -141,7 +142,7 @@
 	}
 }
 
-// resetAnswer resets the connection in place of an answer.
+// resetConnection resets the connection instead of answering.
 func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/soak/summary.go
+++ b/soak/summary.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// Summary counts what a run, or several, did.
+// Summary counts the events of one or several runs.
 type Summary struct {
 	Length                                               time.Duration
 	Steps, Requests, Served, Refused, Failed             int
 	Disconnected, Tables, Reads, Probes, Drains, Arrived int
 	Processes                                            int
-	// Returns are the tries of callers that came back with a last event, Moves the runs
-	// that went on elsewhere.
+	// Reconnects counts the attempts of callers that reconnected with a last event, Migrations the
+	// runs that continued at another engine.
 	Reconnects, Migrations int
-	// Held are the most bytes that a gateway held for callers.
+	// MaxHeldBytes is the maximum number of bytes that a gateway held for callers.
 	MaxHeldBytes int64
-	// Troubles counts what went wrong at servers by intent.
+	// Troubles counts injected disturbances at servers by name.
 	Troubles map[string]int
 }
 
-// Summarize counts a history.
+// Summarize counts the events of a history.
 func Summarize(h *History) Summary {
 	s := Summary{
 		Length: h.Length, Steps: len(h.Plan), Requests: len(h.Requests), Tables: len(h.Puts), Reads: len(h.Reads),
@@ -84,14 +84,13 @@
 	s.Processes = max(s.Processes, o.Processes)
 }
 
-// String describes the counts for people.
+// String returns the counts as text.
 func (s Summary) String() string {
 	return fmt.Sprintf("%s, %d processes, %d steps, %d requests (%d served, %d refused, %d failed, %d left, %d came back), %d arrivals, %d of them moves, %d tables, %d reads, %d probes, %d drains, %.1f MB held, %v",
 		s.Length, s.Processes, s.Steps, s.Requests, s.Served, s.Refused, s.Failed, s.Disconnected, s.Reconnects, s.Arrived, s.Migrations, s.Tables, s.Reads, s.Probes, s.Drains, float64(s.MaxHeldBytes)/1e6, s.Troubles)
 }
 
-// Keep copies the logs of a run, its history and the rules that it broke into a
-// folder.
+// SaveRun saves the logs of a run, its history and the violations in a folder.
 func SaveRun(folder, dir string, h *History, violations []Violation) error {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return err
--- a/soak/upgrade.go
+++ b/soak/upgrade.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// lastUpgrade is how long before the end the last wave of replacements begins.
+	// upgradeCutoff is the time before the end of the load after which no wave of replacements
+	// begins.
 	upgradeCutoff = 3 * time.Second
-	// memberTime is how long is waited for a replica to be in touch again, as an operator
-	// does before the next one is replaced.
+	// memberTimeout is how long to wait until a replica is connected again, as an operator does
+	// before replacing the next one.
 	memberTimeout = 10 * time.Second
 )
 
-// replaceAll makes the steps that replace processes, wave by wave. Replicas of control are
-// replaced one after the other, as operators are told to.
+// replaceAll runs the steps that replace processes, wave by wave. Replicas of control are replaced
+// one at a time, as the instructions for operators require.
 func (f *faultInjector) replaceAll(ctx context.Context, steps []Step) {
 	for len(steps) > 0 {
 		n := 1
@@ -51,7 +52,7 @@
 	}
 }
 
-// wantedBuild is the build that a step brings a process to.
+// targetBuild returns the build to which a step moves a process.
 func targetBuild(k Kind) build {
 	if k == Downgrade {
 		return productionBuild
@@ -105,8 +106,8 @@
 	f.cluster.awaitMember(ctx, p.name)
 }
 
-// meant returns the name of the replica that a step means: one that is not of the wanted
-// build yet.
+// resolveProcess returns the name of the process that a step replaces. For a leader or follower it
+// is a replica that does not run the target build yet.
 func (f *faultInjector) resolveProcess(ctx context.Context, step Step) string {
 	if step.Process != leaderName && step.Process != followerName {
 		return step.Process
@@ -129,8 +130,9 @@
 	return candidates[0]
 }
 
-// hit has a kill come in the middle of a step if one is drawn. What it returns waits for the
-// kill, and starts the process again if the new one was killed.
+// scheduleKill schedules the kill of the process during a step if the plan has one. The returned
+// function waits for the kill, and starts the process again if it was the new incarnation that was
+// killed.
 func (f *faultInjector) scheduleKill(step Step, p *process, kind Kind) func(context.Context) {
 	if step.KillAfter == 0 {
 		return func(context.Context) {}
@@ -156,7 +158,7 @@
 	}
 }
 
-// whenMember calls a function once a replica is a member in touch again.
+// afterMember calls a function once a replica is a connected member again.
 func (f *faultInjector) afterMember(ctx context.Context, name string, then func()) {
 	f.wg.Go(func() {
 		defer then()
--- a/soak/upgrade_plan.go
+++ b/soak/upgrade_plan.go
@@ -16,32 +16,32 @@
 	randomOrder   = "at random"
 )
 
-// Orders are the orders in which processes are replaced. A run has one zone, in which zone by
-// zone is at random.
+// UpgradeOrders are the orders in which processes are replaced. A run has all processes in one
+// zone, so an upgrade zone by zone is the random order.
 var UpgradeOrders = []string{gatewaysFirst, controlFirst, leaderFirst, leaderLast, randomOrder}
 
-// Paths that an upgrade takes.
+// Paths of an upgrade, and the names of replicas of control that are chosen when a step runs.
 const (
 	fullPath      = "whole"
 	partialPath   = "half-way"
 	downgradePath = "back"
 	repeatPath    = "back and forth again"
 	leaderName    = "leader"
-	// followerName is a replica that does not lead, if there is one to replace.
+	// followerName selects a replica that is not the leader, if there is one to replace.
 	followerName = "follower"
 )
 
-// Paths are the paths that an upgrade takes.
+// UpgradePaths are the paths of an upgrade.
 var UpgradePaths = []string{fullPath, partialPath, downgradePath, repeatPath}
 
-// Shares of what befalls the replacing of a process.
+// Shares of replacements that start on an empty disk and that are hit by a kill.
 const (
 	emptyDiskShare = 0.25
 	killShare      = 0.15
 )
 
-// NewUpgrade draws how processes are replaced by the other build. Order and path go round
-// with the seeds, so that any row of twenty has each pair of them.
+// NewUpgrade draws how processes are replaced by the other build. Order and path follow from the
+// seed, so that any twenty consecutive seeds cover each pair of them.
 func NewUpgrade(seed uint64, shape Shape) (order, path string, steps []Step) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	order = UpgradeOrders[seed%uint64(len(UpgradeOrders))]
@@ -67,7 +67,7 @@
 	return order, path, d.steps
 }
 
-// upgradeDraw draws the steps of an upgrade.
+// upgradePlanner draws the steps of an upgrade.
 type upgradePlanner struct {
 	rng   *rand.Rand
 	shape Shape
@@ -76,7 +76,7 @@
 	steps []Step
 }
 
-// processes are all processes in the order in which they are replaced.
+// processes returns all processes in the order of their replacement.
 func (d *upgradePlanner) processes() []string {
 	var gateways, controls []string
 	for n := range d.shape.Gateways {
@@ -108,8 +108,8 @@
 	return out
 }
 
-// leg adds the steps that bring some processes to one build. At most half of the gateways,
-// rounded up, are replaced at once.
+// addPhase adds the steps that move processes to a build. At most half of the gateways, rounded up,
+// are replaced at once.
 func (d *upgradePlanner) addPhase(kind Kind, list []string) {
 	d.wave++
 	gatewaysInWave := 0
@@ -136,7 +136,8 @@
 	}
 }
 
-// hitWithin is the time in which a process is replaced, stop and start.
+// maxKillDelay returns the time that a replacement takes, stop and start, which bounds the time of
+// a kill.
 func maxKillDelay(isGateway bool) time.Duration {
 	if isGateway {
 		return 6 * time.Second
--- a/soak/upgrade_summary.go
+++ b/soak/upgrade_summary.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// UpgradeSummary says what an upgrade, or the faults without one, did to a run.
+// UpgradeSummary summarizes the effects of an upgrade, or of the faults of a run without one.
 type UpgradeSummary struct {
 	Order, Path                   string
 	Replaced, Downgraded, Skipped int
-	// From and To are the begin of the first replacement and the end of the last one.
+	// From and To are the start of the first and the end of the last replacement.
 	From, To time.Duration
-	// NoLeader is the time without a leader in all; the others are the longest ones.
+	// NoLeaderTotal is the total time without a leader; the others are the longest such times.
 	NoLeaderTotal, LongestNoLeader, LongestNoTable time.Duration
-	// Cut counts the requests that planned stops cut, CutBesideFaults those that were cut
-	// while a fault came beside, Refusals the lines about refused links.
+	// Cut counts the requests cut by planned stops, CutDuringFaults those cut while a fault
+	// occurred, Refusals the log lines about refused links.
 	Cut, CutDuringFaults, Refusals int
 }
 
-// SummarizeUpgrade takes the figures of an upgrade from a history.
+// SummarizeUpgrade computes the summary of an upgrade from a history.
 func SummarizeUpgrade(h *History) UpgradeSummary {
 	u := UpgradeSummary{Order: h.Order, Path: h.Path, Skipped: h.Skipped}
 	for _, o := range h.Outages {
@@ -56,10 +56,10 @@
 	return u
 }
 
-// Share is the part of the requests sent in a span of time that were served, of those whose
-// callers waited; and their number. Those of an organisation that asks for more than its limit
-// or has no key are left out: most are refused by intent, and how many depends on how many
-// gateways take callers.
+// ServedShare returns the share of served requests among those sent in a time span whose callers
+// waited, and their number. Requests of the organisation that exceeds its limit, or with an unknown
+// API key, are left out: most are refused by intent, and how many depends on the number of gateways
+// that accept callers.
 func ServedShare(h *History, from, to time.Duration) (share float64, requests int) {
 	served := 0
 	for _, q := range h.Requests {
@@ -74,7 +74,7 @@
 	return float64(served) / float64(max(requests, 1)), requests
 }
 
-// String describes the figures for people.
+// String returns the summary as text.
 func (u UpgradeSummary) String() string {
 	return fmt.Sprintf("%s, %s: %d replaced, %d back, %d left out; no leader %.2f s in all, %.2f s at the longest; no table %.2f s at the longest; cut %d, beside faults %d; links refused %d",
 		u.Order, u.Path, u.Replaced, u.Downgraded, u.Skipped, u.NoLeaderTotal.Seconds(), u.LongestNoLeader.Seconds(), u.LongestNoTable.Seconds(), u.Cut, u.CutDuringFaults, u.Refusals)
--- a/soak/watch.go
+++ b/soak/watch.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// watchEvery is how often processes are asked what they have.
+	// pollInterval is the time between two polls of a process's state.
 	pollInterval = 100 * time.Millisecond
-	// tableMissing is what a gateway says that has no table.
+	// noTableReason is a gateway's answer while it has no table.
 	noTableReason = "no routing table"
 )
 
-// watch notes in which times gateways have no table and control has no leader, until the
+// watchAll records the times in which gateways have no table and control has no leader, until the
 // context ends.
 func (cl *cluster) watchAll(ctx context.Context) {
 	var wg sync.WaitGroup
@@ -31,8 +31,8 @@
 	wg.Wait()
 }
 
-// watchTable notes the times in which a gateway runs without a table. It may have had none
-// since its start, or lose the one that it had.
+// watchTable records the times in which a gateway runs without a table, either since its start or
+// because it lost its table.
 func (cl *cluster) watchTable(ctx context.Context, n int) {
 	name := gatewayName(n)
 	p := cl.processes[name]
@@ -69,14 +69,14 @@
 			if gap == nil {
 				gap = &Gap{Process: name, Incarnation: number, First: !hadTable, From: last}
 			}
-		default: // it is told to stop
+		default: // the gateway is shutting down
 			end(at)
 		}
 	}
 	end(cl.rec.now())
 }
 
-// watchLeader notes the times in which no replica of control leads with a live lease.
+// watchLeader records the times in which no replica of control leads with a valid lease.
 func (cl *cluster) watchLeader(ctx context.Context) {
 	last, missing := cl.rec.now(), false
 	for ; ctx.Err() == nil; sleep(ctx, pollInterval) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// led tells whether any replica leads.
+// hasLeader reports whether any replica leads.
 func (cl *cluster) hasLeader(ctx context.Context) bool {
 	leads := make([]bool, len(cl.apiAddresses))
 	var wg sync.WaitGroup
@@ -109,7 +109,7 @@
 	return slices.Contains(leads, true)
 }
 
-// controlState is what a replica of control says of itself.
+// controlState is the state that a replica of control reports.
 type controlState struct {
 	ID  string `json:"id"`
 	Log struct {
@@ -121,10 +121,10 @@
 	} `json:"log"`
 }
 
-// controlTimeout is how long a replica may take to say it; one that is paused doesn't.
+// dumpTimeout is how long a process may take to report its state; a paused one does not answer.
 const dumpTimeout = 300 * time.Millisecond
 
-// control asks a replica for its state.
+// dumpControl requests the state of a replica.
 func (cl *cluster) dumpControl(ctx context.Context, name string) (controlState, bool) {
 	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
@@ -139,7 +139,7 @@
 	return controlState{}, false
 }
 
-// awaitMember waits until a replica is a voter that has heard of a leader.
+// awaitMember waits until a replica is a voter with a known leader.
 func (cl *cluster) awaitMember(ctx context.Context, name string) {
 	for end := time.Now().Add(memberTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, pollInterval) {
 		if c, ok := cl.dumpControl(ctx, name); ok && c.Log.Leader != "" && slices.Contains(c.Log.Members.Voters, c.ID) {
@@ -148,17 +148,17 @@
 	}
 }
 
-// refusalMarks are the events and error codes by which processes tell of refused links.
+// refusalMarks are the events and error codes in log lines about refused links.
 var refusalMarks = []string{`"LP3003"`, `"LP3005"`, "bad_peer", "versions_apart"}
 
-// refuses tells whether a line of a log tells of a refused link. That a peer has gone before
-// its hello came is told by the same event, with the code of a lost link.
+// reportsRefusal reports whether a log line is about a refused link. A peer that closed the link
+// before its hello is logged under the same event, with the code of a lost link.
 func reportsRefusal(line string) bool {
 	return !strings.Contains(line, `"code":"link_lost"`) &&
 		slices.ContainsFunc(refusalMarks, func(mark string) bool { return strings.Contains(line, mark) })
 }
 
-// countRefusals counts in all logs the lines that tell of refused links.
+// countRefusals counts the log lines about refused links in all logs.
 func (cl *cluster) countRefusals() error {
 	var all []Refusal
 	for name, p := range cl.processes {
--- a/soak/watch_test.go
+++ b/soak/watch_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRefusalsAreCounted counts lines of refused links by process, as either build writes
-// them, and no line of a link that was lost.
+// TestRefusedLinksAreCounted checks that log lines about refused links are counted by process, as
+// either build writes them, and lines about lost links are not.
 func TestRefusedLinksAreCounted(t *testing.T) {
 	dir := t.TempDir()
 	cl := &cluster{rec: &recorder{}, processes: map[string]*process{}}
