--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -74,10 +74,10 @@
 	coldUntil time.Time
 }
 
-func (srv *server) current() (*standin.Backend, *proxy) {
-	srv.mu.Lock()
-	defer srv.mu.Unlock()
-	return srv.backend, srv.proxy
+func (s *server) current() (*standin.Backend, *proxy) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.backend, s.proxy
 }
 
 // cluster is a deployment of real processes and stand-in servers, with the observations made of
@@ -297,15 +297,15 @@
 }
 
 // setLeaving sets whether the server has reported that it leaves.
-func (srv *server) setLeaving(leaving bool) {
-	srv.mu.Lock()
-	defer srv.mu.Unlock()
-	srv.leaving = leaving
+func (s *server) setLeaving(leaving bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.leaving = leaving
 }
 
 // kill ends a server immediately.
-func (srv *server) kill() {
-	b, p := srv.current()
+func (s *server) kill() {
+	b, p := s.current()
 	p.close()
 	b.Kill()
 }
--- a/soak/cold_servers.go
+++ b/soak/cold_servers.go
@@ -39,17 +39,17 @@
 }
 
 // coldRemaining returns the remaining time, in milliseconds, for which a server is cold.
-func (srv *server) coldRemaining() int64 {
-	srv.mu.Lock()
-	defer srv.mu.Unlock()
-	return max(time.Until(srv.coldUntil).Milliseconds(), 0)
+func (s *server) coldRemaining() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return max(time.Until(s.coldUntil).Milliseconds(), 0)
 }
 
 // checkCold checks that no cold server receives more requests in any second than it can handle,
 // from all gateways together, unless its link was disturbed.
 func checkCold(h *History) []string {
 	var out []string
-	const most = int(coldRate*coldOvershoot) + coldSlack
+	const maxRequests = int(coldRate*coldOvershoot) + coldSlack
 	for _, c := range h.Cold {
 		var at []time.Duration
 		for _, a := range h.Arrivals {
@@ -58,11 +58,11 @@
 			}
 		}
 		slices.Sort(at)
-		for i := most; i < len(at); i++ {
-			if at[i]-at[i-most] >= time.Second || h.disturbed(c.Server, at[i], 2*time.Second) {
+		for i := maxRequests; i < len(at); i++ {
+			if at[i]-at[i-maxRequests] >= time.Second || h.disturbed(c.Server, at[i], 2*time.Second) {
 				continue
 			}
-			out = append(out, fmt.Sprintf("%s received %d requests between %v and %v, while it was cold", c.Server, most+1, at[i-most], at[i]))
+			out = append(out, fmt.Sprintf("%s received %d requests between %v and %v, while it was cold", c.Server, maxRequests+1, at[i-maxRequests], at[i]))
 			break
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -22,7 +22,7 @@
 	countTrouble func(what string)
 	conns        map[net.Conn]bool
 	closed       bool
-	wake         *sync.Cond
+	cond         *sync.Cond
 }
 
 // newProxy returns a proxy that forwards to target.
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	p := &proxy{ln: ln, target: target, countTrouble: countTrouble, conns: map[net.Conn]bool{}}
-	p.wake = sync.NewCond(&p.mu)
+	p.cond = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
@@ -44,7 +44,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holdRequests, p.holdAnswers, p.delay = holdRequests, holdAnswers, delay
-	p.wake.Broadcast()
+	p.cond.Broadcast()
 }
 
 // reset resets all connections at both ends.
@@ -61,7 +61,7 @@
 func (p *proxy) close() {
 	p.mu.Lock()
 	p.closed = true
-	p.wake.Broadcast()
+	p.cond.Broadcast()
 	p.mu.Unlock()
 	_ = p.ln.Close()
 	p.reset()
@@ -104,7 +104,7 @@
 func (p *proxy) hold(toClient bool) bool {
 	p.mu.Lock()
 	for !p.closed && (p.holdRequests && !toClient || p.holdAnswers && toClient) {
-		p.wake.Wait()
+		p.cond.Wait()
 	}
 	closed, delay := p.closed, p.delay
 	p.mu.Unlock()
--- a/soak/upgrade_plan.go
+++ b/soak/upgrade_plan.go
@@ -46,25 +46,25 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	order = UpgradeOrders[seed%uint64(len(UpgradeOrders))]
 	path = UpgradePaths[seed/uint64(len(UpgradeOrders))%uint64(len(UpgradePaths))]
-	d := upgradePlanner{rng: r, shape: shape, order: order}
-	all := d.processes()
+	p := upgradePlanner{rng: r, shape: shape, order: order}
+	all := p.processes()
 	subset := all[:1+r.IntN(len(all)-1)]
 	switch path {
 	case fullPath:
-		d.addPhase(Upgrade, all)
+		p.addPhase(Upgrade, all)
 	case partialPath:
-		d.addPhase(Upgrade, subset)
+		p.addPhase(Upgrade, subset)
 	case downgradePath:
 		subset = all[:1+r.IntN(len(all))]
-		d.addPhase(Upgrade, subset)
-		d.addPhase(Downgrade, d.shuffled(subset))
+		p.addPhase(Upgrade, subset)
+		p.addPhase(Downgrade, p.shuffled(subset))
 	case repeatPath:
 		subset = all[:1+r.IntN(len(all)/2)]
-		d.addPhase(Upgrade, subset)
-		d.addPhase(Downgrade, d.shuffled(subset))
-		d.addPhase(Upgrade, all)
+		p.addPhase(Upgrade, subset)
+		p.addPhase(Downgrade, p.shuffled(subset))
+		p.addPhase(Upgrade, all)
 	}
-	return order, path, d.steps
+	return order, path, p.steps
 }
 
 // upgradePlanner draws the steps of an upgrade.
@@ -77,13 +77,13 @@
 }
 
 // processes returns all processes in the order of their replacement.
-func (d *upgradePlanner) processes() []string {
+func (p *upgradePlanner) processes() []string {
 	var gateways, controls []string
-	for n := range d.shape.Gateways {
+	for n := range p.shape.Gateways {
 		gateways = append(gateways, gatewayName(n))
 	}
-	for n := range d.shape.Controls {
-		switch d.order {
+	for n := range p.shape.Controls {
+		switch p.order {
 		case leaderFirst:
 			controls = append(controls, leaderName)
 		case leaderLast:
@@ -92,47 +92,47 @@
 			controls = append(controls, controlName(n))
 		}
 	}
-	gateways, controls = d.shuffled(gateways), d.shuffled(controls)
-	switch d.order {
+	gateways, controls = p.shuffled(gateways), p.shuffled(controls)
+	switch p.order {
 	case gatewaysFirst:
 		return append(gateways, controls...)
 	case controlFirst:
 		return append(controls, gateways...)
 	}
-	return d.shuffled(append(gateways, controls...))
+	return p.shuffled(append(gateways, controls...))
 }
 
-func (d *upgradePlanner) shuffled(list []string) []string {
+func (p *upgradePlanner) shuffled(list []string) []string {
 	out := slices.Clone(list)
-	d.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
+	p.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
 // addPhase adds the steps that move processes to a build. At most half of the gateways, rounded up,
 // are replaced at once.
-func (d *upgradePlanner) addPhase(kind Kind, list []string) {
-	d.wave++
+func (p *upgradePlanner) addPhase(kind Kind, list []string) {
+	p.wave++
 	gatewaysInWave := 0
-	pause := time.Duration(d.rng.Float64() * float64(2*time.Second))
+	pause := time.Duration(p.rng.Float64() * float64(2*time.Second))
 	for i, name := range list {
 		isGateway := strings.HasPrefix(name, gatewayPrefix)
-		grouped := d.order == gatewaysFirst || d.order == controlFirst
+		grouped := p.order == gatewaysFirst || p.order == controlFirst
 		groupEnds := grouped && i > 0 && isGateway != strings.HasPrefix(list[i-1], gatewayPrefix)
-		if groupEnds || isGateway && gatewaysInWave == (d.shape.Gateways+1)/2 {
-			d.wave++
+		if groupEnds || isGateway && gatewaysInWave == (p.shape.Gateways+1)/2 {
+			p.wave++
 			gatewaysInWave = 0
 		}
-		s := Step{At: faultFreeStart, Kind: kind, Process: name, Wave: d.wave, For: pause + time.Duration(d.rng.Float64()*float64(800*time.Millisecond))}
+		s := Step{At: faultFreeStart, Kind: kind, Process: name, Wave: p.wave, For: pause + time.Duration(p.rng.Float64()*float64(800*time.Millisecond))}
 		if isGateway {
 			gatewaysInWave++
 		} else {
-			s.Empty = d.rng.Float64() < emptyDiskShare
+			s.Empty = p.rng.Float64() < emptyDiskShare
 		}
-		if d.rng.Float64() < killShare {
-			s.KillAfter = time.Millisecond + time.Duration(d.rng.Float64()*float64(maxKillDelay(isGateway)))
+		if p.rng.Float64() < killShare {
+			s.KillAfter = time.Millisecond + time.Duration(p.rng.Float64()*float64(maxKillDelay(isGateway)))
 		}
 		pause = 0
-		d.steps = append(d.steps, s)
+		p.steps = append(p.steps, s)
 	}
 }
 
