--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -255,7 +255,7 @@
 	b.SetPace(prefillTime, eventTime, streamEvents)
 	b.SetText(eventText)
 	d := newDisturber(srv.name, cl.incarnations.Load(), cl.rec.countTrouble)
-	b.SetAround(d.wrap)
+	b.SetMiddleware(d.wrap)
 	if srv.role == "decode" {
 		b.SetSlots(engineSlots)
 	}
@@ -264,7 +264,7 @@
 		return err
 	}
 	b.Name = srv.name
-	b.SetDeadly(deadlyContent, func() { cl.restartCrashed(srv, b) })
+	b.SetPoisonRequest(deadlyContent, func() { cl.restartCrashed(srv, b) })
 	cl.markCold(srv, b.ID)
 	cl.group.Alias(p.addr(), b)
 	cl.backendsMu.Lock()
--- a/soak/pauses.go
+++ b/soak/pauses.go
@@ -80,33 +80,33 @@
 // requestPauses makes a server request pauses for a time.
 func (f *faultInjector) requestPauses(ctx context.Context, step Step) {
 	b, _ := f.cluster.servers[step.Target].current()
-	b.SetSays(pauseAnswers(step.Seed))
+	b.SetSelfReport(pauseAnswers(step.Seed))
 	sleep(ctx, step.For)
-	b.SetSays(nil)
+	b.SetSelfReport(nil)
 	f.rec.countTrouble("asked for pauses")
 }
 
 // pauseAnswers returns a function that gives what the answers of a server report.
-func pauseAnswers(draw uint64) func(*http.Request) standin.Says {
+func pauseAnswers(draw uint64) func(*http.Request) standin.SelfReport {
 	r := rand.New(rand.NewPCG(draw, 14))
 	pattern := pausePatterns[r.IntN(len(pausePatterns))]
 	seconds := pauseSeconds[r.IntN(len(pauseSeconds))]
 	bad := [][]string{{""}, {"soon"}, {"-3"}, {"1e9"}, {"3", "4"}, {"NaN"}}
 	counter := make(chan int, 1)
 	counter <- int(r.Uint32N(1000))
-	return func(*http.Request) standin.Says {
+	return func(*http.Request) standin.SelfReport {
 		count := <-counter
 		counter <- count + 1
 		d := seconds
 		switch {
 		case pattern == pauseSomeAnswers && count%3 != 0:
-			return standin.Says{}
+			return standin.SelfReport{}
 		case pattern == pauseMalformed && count%2 == 0:
-			return standin.Says{RetryAfter: bad[count/2%len(bad)]}
+			return standin.SelfReport{RetryAfter: bad[count/2%len(bad)]}
 		case pattern == pauseChanging:
 			d = pauseSeconds[count%len(pauseSeconds)]
 		}
-		return standin.Says{RetryAfter: []string{strconv.FormatFloat(d, 'f', -1, 64)}}
+		return standin.SelfReport{RetryAfter: []string{strconv.FormatFloat(d, 'f', -1, 64)}}
 	}
 }
 
@@ -118,11 +118,11 @@
 	defer srv.lifeMu.Unlock()
 	b, _ := srv.current()
 	some := step.Seed%2 == 0
-	b.SetSays(func(r *http.Request) standin.Says {
+	b.SetSelfReport(func(r *http.Request) standin.SelfReport {
 		if some && len(r.Header.Get(headers.RequestID))%2 == 0 {
-			return standin.Says{}
+			return standin.SelfReport{}
 		}
-		return standin.Leaves(r)
+		return standin.ReportLeaving(r)
 	})
 	sleep(ctx, step.For)
 	srv.kill()
@@ -131,7 +131,7 @@
 }
 
 // newSelfReportArrival converts an arrival for the checks.
-func (cl *cluster) newSelfReportArrival(b *standin.Backend, a standin.Asked) SelfReportArrival {
+func (cl *cluster) newSelfReportArrival(b *standin.Backend, a standin.SelfReportRecord) SelfReportArrival {
 	out := SelfReportArrival{Server: b.ID, ID: a.ID, Path: a.Path, At: a.At.Sub(cl.rec.start), Leaving: len(a.Leaving) > 0}
 	if len(a.RetryAfter) == 1 && strings.Trim(a.RetryAfter[0], "0123456789.") == "" {
 		if seconds, err := strconv.ParseFloat(a.RetryAfter[0], 64); err == nil {
--- a/soak/run.go
+++ b/soak/run.go
@@ -182,7 +182,7 @@
 		n, _ := b.Holds()
 		holds += n
 		for _, k := range cl.group.HeldAt(b) {
-			kv = append(kv, HeldKV{Request: k.Request, MadeAt: k.Made.Sub(cl.rec.start)})
+			kv = append(kv, HeldKV{Request: k.Request, MadeAt: k.Created.Sub(cl.rec.start)})
 		}
 	}
 	return kv, holds
@@ -201,10 +201,10 @@
 			for _, a := range b.Arrivals() {
 				h.Arrivals = append(h.Arrivals, cl.newArrival(b, service, a))
 			}
-			for _, l := range b.Limited() {
-				h.Limited = append(h.Limited, LimitedArrival{Server: b.ID, ID: l.ID, Path: l.Path, Named: len(l.Named) > 0, At: l.At.Sub(cl.rec.start)})
+			for _, l := range b.LimitRecords() {
+				h.Limited = append(h.Limited, LimitedArrival{Server: b.ID, ID: l.ID, Path: l.Path, Named: len(l.Limits) > 0, At: l.At.Sub(cl.rec.start)})
 			}
-			for _, a := range b.Asked() {
+			for _, a := range b.SelfReportRecords() {
 				h.Asked = append(h.Asked, cl.newSelfReportArrival(b, a))
 			}
 			for _, o := range b.Orders() {
--- a/soak/slow_readers.go
+++ b/soak/slow_readers.go
@@ -46,9 +46,9 @@
 func (f *faultInjector) slowServer(ctx context.Context, step Step) {
 	b, _ := f.cluster.servers[step.Target].current()
 	r := rand.New(rand.NewPCG(step.Seed, 12))
-	b.SetSlow(time.Duration(r.Float64() * float64(maxServerPause)))
+	b.SetAnswerPause(time.Duration(r.Float64() * float64(maxServerPause)))
 	sleep(ctx, step.For)
-	b.SetSlow(0)
+	b.SetAnswerPause(0)
 }
 
 // runSlowReaders makes callers request large answers from a gateway, read a part or nothing, and
@@ -61,7 +61,7 @@
 	defer cancel()
 	r := rand.New(rand.NewPCG(step.Seed, 13))
 	for i := range slowReaderCount {
-		q := Request{ID: fmt.Sprintf("slow-%x-%d", step.Seed, i), Kind: Rates, Gateway: step.Target, Organisation: "one", Content: standin.Large(largeAnswerBytes)}
+		q := Request{ID: fmt.Sprintf("slow-%x-%d", step.Seed, i), Kind: Rates, Gateway: step.Target, Organisation: "one", Content: standin.LargeAnswerBody(largeAnswerBytes)}
 		pause := time.Duration(r.IntN(3)) * 50 * time.Millisecond // zero reads nothing
 		f.load.wg.Go(func() { f.load.runSlowReader(ctx, q, pause) })
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -208,8 +208,8 @@
 var words = strings.Fields("the licence seat is free for this desk and the rate stands as posted today " +
 	"so the review finds no fault in the log while one feature was held past its term")
 
-// Word returns token i of the answer to a prompt.
-func Word(prompt uint64, i int) string {
+// Token returns token i of the answer to a prompt.
+func Token(prompt uint64, i int) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d/%d", prompt, i)
 	return words[h.Sum64()%uint64(len(words))] + " "
@@ -226,7 +226,7 @@
 func Answer(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(Word(HashPrompt(prompt), i))
+		b.WriteString(Token(HashPrompt(prompt), i))
 	}
 	return b.String()
 }
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -223,7 +223,7 @@
 		made, more := j.tokens, j.more
 		e.mu.Unlock()
 		for ; next < min(made, j.total); next++ {
-			send(w, engine.Chunk{Index: next, Text: Word(j.prompt, next)})
+			send(w, engine.Chunk{Index: next, Text: Token(j.prompt, next)})
 		}
 		if made > j.total {
 			// Whoever has read the end finds nothing held any more.
--- a/standin/kept.go
+++ b/standin/kept.go
@@ -14,15 +14,15 @@
 	platformKeptPath = "/-/kv-list"
 )
 
-// Read returns the tokens of prompts that the engine has read.
-func (b *Backend) Read() int {
+// ReadTokens returns the tokens of prompts that the engine has read.
+func (b *Backend) ReadTokens() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.read
 }
 
-// Forget has the engine keep no prompts, as if others had needed the memory.
-func (b *Backend) Forget() {
+// DropKeptPrompts has the engine keep no prompts, as if others had needed the memory.
+func (b *Backend) DropKeptPrompts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.kept = nil
--- a/standin/manner.go
+++ b/standin/manner.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Manner is how an engine behaves where its contract leaves that open, and where
+// Behaviour is how an engine behaves where its contract leaves that open, and where
 // engines are known to break it. The zero value is an engine that writes each event at
 // once, drops a run when its connection closes, and answers at once.
-type Manner struct {
+type Behaviour struct {
 	// Event returns the whole text of an event of the answer to a request with a body, its
 	// end included; nil for the plain one. Texts may hold anything, what looks like a field
 	// or an end too.
 	Event func(body string, n int) string
-	// Cut returns how many of the bytes that are due are written next, none to wait for
+	// WriteSize returns how many of the bytes that are due are written next, none to wait for
 	// the next event; nil writes all at once. Networks join and split at any byte.
-	Cut func(due int) int
+	WriteSize func(due int) int
 	// Unframed answers without length and chunks, so that only the connection's end
 	// tells the end of a stream.
 	Unframed bool
@@ -27,43 +27,43 @@
 	// OldestFirst has a copy name the oldest run of a request in place of the newest:
 	// the contract names runs by request only.
 	OldestFirst bool
-	// GoesOn is where the continuation of a copy begins.
-	GoesOn GoesOn
+	// ContinueFrom is where the continuation of a copy begins.
+	ContinueFrom ContinueFrom
 	// CopyTime is how long a copy takes.
 	CopyTime time.Duration
-	// Copies is what becomes of a call for a copy of a request's run; nil for an answer.
-	Copies func(id string, stop bool) CopyFate
-	// Surplus tells whether the answer to a call for a copy comes once more, before the
+	// CopyOutcome is what becomes of a call for a copy of a request's run; nil for an answer.
+	CopyOutcome func(id string, stop bool) CopyOutcome
+	// DuplicateAnswer tells whether the answer to a call for a copy comes once more, before the
 	// next answer on its connection; nil for never.
-	Surplus func(id string, stop bool) bool
-	// Closing tells whether the answer to a call for a copy ends its connection; nil for
+	DuplicateAnswer func(id string, stop bool) bool
+	// CloseAfterAnswer tells whether the answer to a call for a copy ends its connection; nil for
 	// never.
-	Closing func(id string, stop bool) bool
+	CloseAfterAnswer func(id string, stop bool) bool
 }
 
-// GoesOn is where an engine that continues a copy begins.
-type GoesOn int
+// ContinueFrom is where an engine that continues a copy begins.
+type ContinueFrom int
 
 // Where a copy is continued. A run's own count may be ahead of what reached anybody, so
 // that only the first is right.
 const (
 	// AfterLastID is after the event that the request names.
-	AfterLastID GoesOn = iota
-	// AfterMade is after the last event that the copied run had made.
-	AfterMade
-	// AtMade is at the last event that the copied run had made, which comes again.
-	AtMade
+	AfterLastID ContinueFrom = iota
+	// AfterGenerated is after the last event that the copied run had made.
+	AfterGenerated
+	// AtGenerated is at the last event that the copied run had made, which comes again.
+	AtGenerated
 )
 
-// CopyFate is what becomes of a call for a copy.
-type CopyFate int
+// CopyOutcome is what becomes of a call for a copy.
+type CopyOutcome int
 
 // The fates.
 const (
 	// CopyAnswered is done and answered.
-	CopyAnswered CopyFate = iota
-	// CopyLost is done, and its connection is reset in place of an answer.
-	CopyLost
+	CopyAnswered CopyOutcome = iota
+	// CopyAnswerLost is done, and its connection is reset in place of an answer.
+	CopyAnswerLost
 	// CopyAnswerLate is done, and answered when nobody waits any more.
 	CopyAnswerLate
 	// CopyDoneLate is done when nobody waits any more.
@@ -75,15 +75,15 @@
 // lateBy is longer than callers wait for a run to be stopped.
 const lateBy = 900 * time.Millisecond
 
-// SetManner sets how an engine behaves from now on; runs under way keep the manner that
+// SetBehaviour sets how an engine behaves from now on; runs under way keep the manner that
 // they began with.
-func (b *Backend) SetManner(m Manner) {
+func (b *Backend) SetBehaviour(m Behaviour) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.manner = m
 }
 
-func (b *Backend) mannerNow() Manner {
+func (b *Backend) mannerNow() Behaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.manner
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -12,11 +12,11 @@
 // largeContent begins the body of a request that asks for a long answer of a plain service.
 const largeContent = "large "
 
-// Large is the body of a request whose answer has as many bytes.
-func Large(bytes int) string { return largeContent + strconv.Itoa(bytes) }
+// LargeAnswerBody is the body of a request whose answer has as many bytes.
+func LargeAnswerBody(bytes int) string { return largeContent + strconv.Itoa(bytes) }
 
-// SetSlow has answers of a plain service pause in their middle; zero for no pause.
-func (b *Backend) SetSlow(pause time.Duration) {
+// SetAnswerPause has answers of a plain service pause in their middle; zero for no pause.
+func (b *Backend) SetAnswerPause(pause time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slow = pause
