--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -42,9 +42,9 @@
 			o    replay.Options
 		}{
 			{"ledgepin", replay.Options{}},
-			{"failures not shared", replay.Options{Alone: true}},
-			{"waits of 0.22 of the target", replay.Options{Patience: func(t time.Duration) time.Duration { return t * 22 / 100 }}},
-			{"waits of the whole target", replay.Options{Patience: func(t time.Duration) time.Duration { return t }}},
+			{"failures not shared", replay.Options{NoFailureSharing: true}},
+			{"waits of 0.22 of the target", replay.Options{QueueTimeout: func(t time.Duration) time.Duration { return t * 22 / 100 }}},
+			{"waits of the whole target", replay.Options{QueueTimeout: func(t time.Duration) time.Duration { return t }}},
 			{"least loaded", replay.Options{Policy: replay.LeastLoaded}},
 			{"round robin", replay.Options{Policy: replay.RoundRobin()}},
 		} {
--- a/replay/callers.go
+++ b/replay/callers.go
@@ -13,7 +13,7 @@
 	rate := x.p.rate(x.at())
 	extra := x.p.hot(x.at()) * rate
 	for x.due += (rate + extra) * step.Seconds(); x.due >= 1; x.due-- {
-		x.out.Asked++
+		x.out.Callers++
 		r := &request{first: x.now, answer: x.draw(x.p.Answer, x.p.Spread)}
 		r.organisation = x.organisation(extra / (rate + extra))
 		x.out.ask(r)
@@ -57,15 +57,15 @@
 	}
 	g := r.gateway
 	patience := g.view.QueueTimeout(x.now, r.work, x.p.Target, g.queue.Len(), g.times)
-	if x.o.Patience != nil {
-		patience = x.o.Patience(x.p.Target)
+	if x.o.QueueTimeout != nil {
+		patience = x.o.QueueTimeout(x.p.Target)
 	}
 	r.until = x.now.Add(patience)
 	r.waiting = &dispatch.QueuedRequest{Work: r.work, Engine: x.route, Avoid: dispatch.Avoid{}}
 	if x.p.Organisations > 0 {
 		name := strconv.Itoa(r.organisation)
 		x.shares.Add(x.now, name, float64(r.work.Prompt+r.work.Expected))
-		r.waiting.Work.OverShare = !x.o.Unfair && x.shares.Exceeds(x.now, name)
+		r.waiting.Work.OverShare = !x.o.NoFairShare && x.shares.Exceeds(x.now, name)
 	}
 	g.queue.Add(r.waiting)
 	g.waiting = append(g.waiting, r)
--- a/replay/service.go
+++ b/replay/service.go
@@ -79,7 +79,7 @@
 	if took <= x.p.Target {
 		x.out.InTime++
 		if r.organisation > 0 {
-			x.out.QuietInTime++
+			x.out.OthersInTime++
 		}
 	} else {
 		x.out.Late++
