--- a/policybench/fault.go
+++ b/policybench/fault.go
@@ -7,21 +7,21 @@
 
 // The faults that a run may have.
 const (
-	PrefillDies   = "engine dies in prefill"
-	TransferDies  = "engine dies in transfer"
-	DecodeDies    = "engine dies in decode"
-	TransferStall = "transfer stalls"
-	EntryDies     = "entry dies"
-	AgentDies     = "agent dies"
-	BulkCancel    = "callers cancel in bulk"
-	ReportsStop   = "reports stop"
-	HintsLost     = "half the cache events lost"
-	ServerLeaves  = "a server leaves"
+	PrefillDies     = "engine dies in prefill"
+	TransferDies    = "engine dies in transfer"
+	DecodeDies      = "engine dies in decode"
+	TransferStall   = "transfer stalls"
+	EntryDies       = "entry dies"
+	AgentDies       = "agent dies"
+	BulkCancel      = "callers cancel in bulk"
+	ReportsStop     = "reports stop"
+	CacheEventsLost = "half the cache events lost"
+	ServerLeaves    = "a server leaves"
 )
 
 // Faults lists all of them.
 func Faults() []string {
-	return []string{PrefillDies, TransferDies, DecodeDies, TransferStall, EntryDies, AgentDies, BulkCancel, ReportsStop, HintsLost, ServerLeaves}
+	return []string{PrefillDies, TransferDies, DecodeDies, TransferStall, EntryDies, AgentDies, BulkCancel, ReportsStop, CacheEventsLost, ServerLeaves}
 }
 
 const (
@@ -58,7 +58,7 @@
 	case ReportsStop:
 		b.reportsStopped = true
 		b.after(quiet, func() { b.reportsStopped = false })
-	case HintsLost:
+	case CacheEventsLost:
 		b.dropHints()
 	case ServerLeaves:
 		b.depart(d)
--- a/policybench/policy.go
+++ b/policybench/policy.go
@@ -9,16 +9,16 @@
 
 // The policies that are compared.
 const (
-	Ours          = "ledgepin"
-	NoReservation = "ledgepin without reservation"
-	RoundRobin    = "round robin"
-	LeastOut      = "least outstanding"
-	SmallestTotal = "smallest total processing time"
+	Ledgepin         = "ledgepin"
+	NoReservation    = "ledgepin without reservation"
+	RoundRobin       = "round robin"
+	LeastOutstanding = "least outstanding"
+	SmallestTotal    = "smallest total processing time"
 )
 
 // Policies lists all of them.
 func Policies() []string {
-	return []string{Ours, NoReservation, RoundRobin, LeastOut, SmallestTotal}
+	return []string{Ledgepin, NoReservation, RoundRobin, LeastOutstanding, SmallestTotal}
 }
 
 // policyNamed returns a maker of policies, one for each entry. Wide tells that
@@ -33,7 +33,7 @@
 		}, false
 	case RoundRobin:
 		return func() router.Policy { return baseline(roundRobin()) }, true
-	case LeastOut:
+	case LeastOutstanding:
 		return func() router.Policy { return baseline(leastOutstanding) }, true
 	case SmallestTotal:
 		return func() router.Policy { return baseline(smallestTotal) }, true
