--- a/standin/manner.go
+++ b/standin/behaviour.go
@@ -73,20 +73,20 @@
 )
 
 // lateBy is longer than callers wait for a run to be stopped.
-const lateBy = 900 * time.Millisecond
+const lateAnswerDelay = 900 * time.Millisecond
 
 // SetBehaviour sets how an engine behaves from now on; runs under way keep the manner that
 // they began with.
 func (b *Backend) SetBehaviour(m Behaviour) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.manner = m
+	b.behaviour = m
 }
 
-func (b *Backend) mannerNow() Behaviour {
+func (b *Backend) currentBehaviour() Behaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	m := b.manner
+	m := b.behaviour
 	if text := b.text; m.Event == nil && text != nil {
 		m.Event = func(body string, n int) string { return WriteEvent(n, text(body, n)) }
 	}
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -42,9 +42,9 @@
 	case reportPath:
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(map[string]any{"stage": b.Role, "busy": false, "sequence": b.taken})
+		_ = json.NewEncoder(w).Encode(map[string]any{"stage": b.Role, "busy": false, "sequence": b.orderCount})
 	case orderPath:
-		b.takeOrder(w, body)
+		b.applyOrder(w, body)
 	case KeptPath, platformKeptPath:
 		b.serveKept(w)
 	default:
@@ -58,7 +58,7 @@
 
 // takeOrder changes the role of an engine at once, unless the order's fence or
 // sequence is old.
-func (b *Backend) takeOrder(w http.ResponseWriter, body []byte) {
+func (b *Backend) applyOrder(w http.ResponseWriter, body []byte) {
 	var in struct {
 		Stage        string `json:"stage"`
 		Holder       string `json:"holder"`
@@ -75,11 +75,11 @@
 	switch {
 	case in.FencingToken < b.fence:
 		w.WriteHeader(http.StatusPreconditionFailed)
-	case in.Expected != b.taken:
+	case in.Expected != b.orderCount:
 		w.WriteHeader(http.StatusConflict)
 	default:
 		b.fence, b.Role = in.FencingToken, in.Stage
-		b.taken++
+		b.orderCount++
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
