--- a/standin/behaviour.go
+++ b/standin/behaviour.go
@@ -5,78 +5,76 @@
 	"time"
 )
 
-// Behaviour is how an engine behaves where its contract leaves that open, and where
-// engines are known to break it. The zero value is an engine that writes each event at
-// once, drops a run when its connection closes, and answers at once.
+// Behaviour is how an engine behaves where its contract allows several behaviours, and where
+// engines are known to break the contract. The zero value writes each event at once, drops a run
+// when its connection closes, and answers copy calls without delay.
 type Behaviour struct {
-	// Event returns the whole text of an event of the answer to a request with a body, its
-	// end included; nil for the plain one. Texts may hold anything, what looks like a field
-	// or an end too.
+	// Event returns the whole text of an event of the answer to a request body, including its end;
+	// nil for PlainEvent. Texts may contain anything, even what looks like a field or the end of
+	// an event.
 	Event func(body string, n int) string
-	// WriteSize returns how many of the bytes that are due are written next, none to wait for
-	// the next event; nil writes all at once. Networks join and split at any byte.
+	// WriteSize returns how many of the pending bytes are written next, zero to wait for the next
+	// event; nil writes all at once. Networks join and split a stream at any byte.
 	WriteSize func(due int) int
-	// Unframed answers without length and chunks, so that only the connection's end
-	// tells the end of a stream.
+	// Unframed sends answers without length or chunks, so that only the end of the connection
+	// marks the end of a stream.
 	Unframed bool
-	// Reset ends a stream that does not come to its end by a reset in place of a close.
+	// Reset makes an interrupted stream end by a reset instead of a close.
 	Reset bool
-	// Linger is how long a run goes on after its connection has closed. The same
-	// request may come again meanwhile, and has two runs at the engine then.
+	// Linger is how long a run continues after its connection has closed. If the request is sent
+	// again meanwhile, it has two runs at the engine.
 	Linger time.Duration
-	// OldestFirst has a copy name the oldest run of a request in place of the newest:
+	// OldestFirst makes a copy call apply to the oldest run of a request instead of the newest:
 	// the contract names runs by request only.
 	OldestFirst bool
 	// ContinueFrom is where the continuation of a copy begins.
 	ContinueFrom ContinueFrom
 	// CopyTime is how long a copy takes.
 	CopyTime time.Duration
-	// CopyOutcome is what becomes of a call for a copy of a request's run; nil for an answer.
+	// CopyOutcome chooses the outcome of a call for a copy of a request's run; nil for
+	// CopyAnswered.
 	CopyOutcome func(id string, stop bool) CopyOutcome
-	// DuplicateAnswer tells whether the answer to a call for a copy comes once more, before the
-	// next answer on its connection; nil for never.
+	// DuplicateAnswer reports whether the answer to a copy call is sent once more, before the next
+	// answer on its connection; nil for never.
 	DuplicateAnswer func(id string, stop bool) bool
-	// CloseAfterAnswer tells whether the answer to a call for a copy ends its connection; nil for
+	// CloseAfterAnswer reports whether the answer to a copy call closes its connection; nil for
 	// never.
 	CloseAfterAnswer func(id string, stop bool) bool
 }
 
-// ContinueFrom is where an engine that continues a copy begins.
+// ContinueFrom is where an engine begins that continues a copy.
 type ContinueFrom int
 
-// Where a copy is continued. A run's own count may be ahead of what reached anybody, so
-// that only the first is right.
 const (
-	// AfterLastID is after the event that the request names.
+	// AfterLastID continues after the event that the request names. Only this is correct: a run
+	// may have generated more events than its caller has received.
 	AfterLastID ContinueFrom = iota
-	// AfterGenerated is after the last event that the copied run had made.
+	// AfterGenerated continues after the last event that the copied run generated.
 	AfterGenerated
-	// AtGenerated is at the last event that the copied run had made, which comes again.
+	// AtGenerated continues at the last event that the copied run generated, which is sent again.
 	AtGenerated
 )
 
-// CopyOutcome is what becomes of a call for a copy.
+// CopyOutcome is the outcome of a copy call.
 type CopyOutcome int
 
-// The fates.
 const (
-	// CopyAnswered is done and answered.
+	// CopyAnswered copies and answers.
 	CopyAnswered CopyOutcome = iota
-	// CopyAnswerLost is done, and its connection is reset in place of an answer.
+	// CopyAnswerLost copies, and resets the connection instead of answering.
 	CopyAnswerLost
-	// CopyAnswerLate is done, and answered when nobody waits any more.
+	// CopyAnswerLate copies, and answers after the caller's timeout.
 	CopyAnswerLate
-	// CopyDoneLate is done when nobody waits any more.
+	// CopyDoneLate copies after the caller's timeout.
 	CopyDoneLate
-	// CopyThenCrash is done and answered, and the engine ends.
+	// CopyThenCrash copies and answers, and then the engine crashes.
 	CopyThenCrash
 )
 
-// lateBy is longer than callers wait for a run to be stopped.
+// lateAnswerDelay is longer than the time for which callers wait for a run to stop.
 const lateAnswerDelay = 900 * time.Millisecond
 
-// SetBehaviour sets how an engine behaves from now on; runs under way keep the manner that
-// they began with.
+// SetBehaviour sets the engine's behaviour. Active runs keep the behaviour that they started with.
 func (b *Backend) SetBehaviour(m Behaviour) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,6 +94,5 @@
 	return m
 }
 
-// PlainEvent returns an event of a stream as engines make it if they are told nothing
-// else.
+// PlainEvent returns an event as engines generate it without other settings.
 func PlainEvent(n int) string { return fmt.Sprintf("id: %d\ndata: event %d\n\n", n, n) }
--- a/standin/call.go
+++ b/standin/call.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Call sends a JSON body to a listener of the system, as its operators, backend
-// servers and balancer do, and returns the status and body of the answer.
+// Call sends a JSON body to a listener of the system, as operators, backend servers and the
+// platform's balancer do, and returns the status and body of the answer.
 func Call(ctx context.Context, client *http.Client, method, url, body string) (int, string, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
--- a/standin/copies.go
+++ b/standin/copies.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Where an engine copies a run's KV cache to another engine, in ledgepin's own
-// reports and in that of the users' platform.
 const (
+	// CopyPath and platformCopyPath are where an engine copies a run's KV cache to another engine,
+	// in ledgepin's protocol and in that of the users' platform.
 	CopyPath         = "/copy"
 	platformCopyPath = "/-/kv-move"
 )
 
-// copyPrefix begins the names of copies.
+// copyPrefix begins the handles of copies.
 const copyPrefix = "copy-"
 
-// continues tells whether a KV cache is the copy of a run.
+// isRunCopy reports whether a KV cache is the copy of a run.
 func isRunCopy(source string) bool {
 	_, handle, _ := strings.Cut(source, "/")
 	return strings.HasPrefix(handle, copyPrefix)
 }
 
-// copyRequest asks for a copy in either form.
+// copyRequest is a call for a copy in either protocol.
 type copyRequest struct {
 	ID            string `json:"id"`
 	Target        string `json:"target"`
@@ -34,15 +34,15 @@
 	Last          bool   `json:"last"`
 }
 
-// RefuseCopies makes an engine refuse copies that refuse returns true for, as if
-// the other engine had no room; nil for none.
+// RefuseCopies makes the engine refuse the copies for which refuse returns true, as if the target
+// had no free memory; nil for none.
 func (b *Backend) RefuseCopies(refuse func(stop bool) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refuseCopies = refuse
 }
 
-// serveCopy copies a run, and answers as the engine's manner has it.
+// serveCopy copies a run and answers as the engine's behaviour requires.
 func (b *Backend) serveCopy(w http.ResponseWriter, r *http.Request, body []byte) {
 	var in copyRequest
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -80,9 +80,9 @@
 	}
 }
 
-// copyRun copies a run and returns the answer to the call for it. With stop, the run ends
-// first without its end being sent, and its KV cache stays here under the name of the
-// copy, also if the other engine has no room.
+// copyRun copies a run and returns the status and body of the answer. With stop, the run ends
+// first and its stream ends without a final event. Its KV cache then stays here under the handle
+// of the copy, even if the target has no free memory.
 func (b *Backend) copyRun(in copyRequest, copyTime time.Duration) (status int, answer string) {
 	b.mu.Lock()
 	r := b.find(in.ID)
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,8 +1,7 @@
-// Package standin holds the outside systems that ledgepin meets, written for
-// tests and for the dev command: a model engine, a plain service and the
-// platform's list of VMs.
+// Package standin implements the external systems that ledgepin works with, for tests and for the
+// dev command: model engines, plain services and the platform's list of VMs.
 //
-// The engine obeys the contract of package engine and computes nothing: its
-// tokens follow from the prompt alone, so that an answer can be checked word
-// for word, also when another engine went on with it.
+// The engine follows the contract of package engine and runs no model: its tokens depend on the
+// prompt alone, so that a test can check an answer word for word, even if another engine continued
+// it.
 package standin
--- a/standin/duplicate.go
+++ b/standin/duplicate.go
@@ -8,9 +8,8 @@
 	"sync"
 )
 
-// surplusConn is a connection on which an answer may come a second time, in the place
-// where the next one is due. One that came earlier would be seen before the connection is
-// used again.
+// duplicatingConn is a connection on which an answer may be sent a second time, in place of the
+// next answer. It is sent no earlier: the client would see it before it uses the connection again.
 type duplicatingConn struct {
 	*net.TCPConn
 
@@ -18,7 +17,7 @@
 	duplicate []byte
 }
 
-// Write writes what comes a second time, and then p.
+// Write writes the duplicate, if there is one, and then p.
 func (c *duplicatingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	duplicate := c.duplicate
@@ -32,7 +31,7 @@
 	return c.TCPConn.Write(p)
 }
 
-// surplusListener takes such connections.
+// duplicatingListener accepts connections that can duplicate answers.
 type duplicatingListener struct{ net.Listener }
 
 // Accept waits for the next connection.
@@ -53,7 +52,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// again has an answer that was written come once more.
+// duplicateAnswer makes the connection send an answer once more, before the next one.
 func duplicateAnswer(w http.ResponseWriter, r *http.Request, status int, body string) {
 	c, ok := r.Context().Value(connKey{}).(*duplicatingConn)
 	if !ok || http.NewResponseController(w).Flush() != nil {
--- a/standin/holds.go
+++ b/standin/holds.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Where an engine sets room aside, in ledgepin's own form and in that of the
-// users' platform.
 const (
+	// HoldPath and platformHoldPath are where an engine reserves a slot, in ledgepin's protocol
+	// and in that of the users' platform.
 	HoldPath         = "/hold"
 	platformHoldPath = "/-/hold-"
 )
 
-// SetSlots bounds the requests that an engine runs and holds room for.
+// SetSlots bounds the requests that an engine runs and the slots that it reserves, together.
 func (b *Backend) SetSlots(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slots = n
 }
 
-// Holds returns the number of holds that are set aside, and of all that were.
+// Holds returns the number of reserved slots and the number of all reservations so far.
 func (b *Backend) Holds() (now, ever int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -30,7 +30,7 @@
 	return len(b.holds), b.holdCount
 }
 
-// serveHold sets a slot aside, or gives one back.
+// serveHold reserves a slot or releases one.
 func (b *Backend) serveHold(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,16 +52,16 @@
 	fmt.Fprintf(w, `{"hold":%q}`, hold)
 }
 
-// full tells whether no slot is free. Callers hold the lock.
+// full reports whether no slot is free. The caller holds b.mu.
 func (b *Backend) full() bool {
 	b.expireHolds()
 	return b.slots > 0 && b.running+len(b.holds) >= b.slots
 }
 
-// holdLife is how long a slot is set aside at most.
+// holdTTL is the longest time for which a slot stays reserved.
 const holdTTL = 2 * time.Second
 
-// lapseHolds drops the holds whose time is over. Callers hold the lock.
+// expireHolds drops the expired holds. The caller holds b.mu.
 func (b *Backend) expireHolds() {
 	for hold, since := range b.holds {
 		if time.Since(since) > holdTTL {
@@ -70,7 +70,7 @@
 	}
 }
 
-// admit takes a request's hold, or asks for a free slot.
+// admit uses up a request's hold, or reports whether a slot is free for a request without one.
 func (b *Backend) admit(hold string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/kept.go
+++ b/standin/kept.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// Where an engine tells which parts of prompts it keeps, in ledgepin's own form and
-// in that of the users' platform.
 const (
+	// KeptPath and platformKeptPath are where an engine lists the prompt parts that it keeps, in
+	// ledgepin's protocol and in that of the users' platform.
 	KeptPath         = "/kept"
 	platformKeptPath = "/-/kv-list"
 )
 
-// ReadTokens returns the tokens of prompts that the engine has read.
+// ReadTokens returns the number of prompt tokens that the engine has read.
 func (b *Backend) ReadTokens() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.readTokens
 }
 
-// DropKeptPrompts has the engine keep no prompts, as if others had needed the memory.
+// DropKeptPrompts drops all kept prompts, as an engine does that needs the memory for others.
 func (b *Backend) DropKeptPrompts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.keptPrompts = nil
 }
 
-// keepPrompt keeps the prompt of a request, and counts what had to be read for it.
-// With taken, its KV cache came from another engine.
+// keepPrompt keeps the prompt of a request and counts the tokens that had to be read. If fetched
+// is set, the KV cache came from another engine and nothing was read.
 func (b *Backend) keepPrompt(r *http.Request, fetched bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// serveKept lists what the engine keeps.
+// serveKept lists the prompt parts that the engine keeps.
 func (b *Backend) serveKept(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/kvcache.go
+++ b/standin/kvcache.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// KVCache is a KV cache that an engine keeps until somebody takes or frees it.
+// KVCache is a KV cache that an engine keeps until it is claimed, released or expired.
 type KVCache struct {
-	// Request is the ID of the request that it was made for.
+	// Request is the ID of the request that it was computed for.
 	Request string
 	Created time.Time
-	// Events is the last event that had been made, if it is the copy of a run, and body
-	// that of the request.
+	// Events is the last event that was generated if it is the copy of a run, and body the body of
+	// the request.
 	Events int
 	body   string
-	// target is the address of the engine that a copy was sent to, empty if none had
-	// room; stopped tells that its run has ended, so that it may go on where it was.
+	// target is the address of the engine that the copy was sent to, empty if that had no free
+	// memory. stopped reports whether the copied run has ended, so that it may continue where it
+	// was.
 	target  string
 	stopped bool
 }
@@ -26,7 +27,7 @@
 type BackendGroup struct {
 	mu      sync.Mutex
 	handles map[string]KVCache // by "address/handle"
-	aliases map[string]string  // addresses of engines by those of proxies before them
+	aliases map[string]string  // addresses of engines by the addresses of their proxies
 	next    int
 }
 
@@ -35,7 +36,7 @@
 	return &BackendGroup{handles: map[string]KVCache{}, aliases: map[string]string{}}
 }
 
-// Held returns the number of KV caches that nobody has taken.
+// Held returns the number of KV caches that no engine has claimed.
 func (g *BackendGroup) Held() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,11 +44,10 @@
 	return len(g.handles)
 }
 
-// kvLife is how long a KV cache is kept that nobody takes or frees, as the
-// gateway that had it made may have died.
+// kvTTL is how long an unclaimed KV cache is kept: the gateway that requested it may have died.
 const kvTTL = 5 * time.Second
 
-// lapse drops the KV caches whose time is over. Callers hold the lock.
+// expire drops the expired KV caches. The caller holds g.mu.
 func (g *BackendGroup) expire() {
 	for source, kv := range g.handles {
 		if time.Since(kv.Created) > kvTTL {
@@ -56,14 +56,14 @@
 	}
 }
 
-// Alias tells that an engine is also reached at another address.
+// Alias adds a second address of an engine, such as that of a proxy.
 func (g *BackendGroup) Alias(address string, b *Backend) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.aliases[address] = b.addr
 }
 
-// HeldAt returns the KV caches of one engine that nobody has taken.
+// HeldAt returns the KV caches of one engine that no engine has claimed.
 func (g *BackendGroup) HeldAt(b *Backend) []KVCache {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,8 +77,8 @@
 	return out
 }
 
-// keep notes a KV cache at an engine under a name, a new one if it is empty; a name that
-// is kept already names the new one.
+// store stores a KV cache at an engine under a name, and returns the name: a new one if name is
+// empty. A cache that has the name already is replaced.
 func (g *BackendGroup) store(address, name string, kv KVCache) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -91,7 +91,7 @@
 	return name
 }
 
-// take hands a KV cache out, once.
+// remove removes a KV cache and returns it.
 func (g *BackendGroup) remove(source string) (KVCache, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,8 +101,8 @@
 	return kv, ok
 }
 
-// takeAt hands a KV cache out to the engine at an address, once. The copy of a run can be
-// had where it was sent to, and where the run was if it has ended.
+// claim removes a KV cache and returns it to the engine at an address. The copy of a run is
+// available where it was sent to, and also where the run was if that has ended.
 func (g *BackendGroup) claim(address, source string) (KVCache, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,15 +118,16 @@
 	return kv, ok
 }
 
-// behind returns the name of a KV cache by the address of its engine itself, and drops
-// those whose time is over. Callers hold the lock.
+// resolve returns the name of a KV cache with the address of its engine in place of a proxy's, and
+// drops the expired ones. The caller holds g.mu.
 func (g *BackendGroup) resolve(source string) string {
 	g.expire()
 	address, handle, _ := strings.Cut(source, "/")
 	return g.engineAddress(address) + "/" + handle
 }
 
-// real returns the address of an engine itself. Callers hold the lock.
+// engineAddress returns the address of the engine that is reached at address. The caller holds
+// g.mu.
 func (g *BackendGroup) engineAddress(address string) string {
 	if engine, ok := g.aliases[address]; ok {
 		return engine
--- a/standin/middleware.go
+++ b/standin/middleware.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// SetMiddleware puts a handler around the server's own, which sees each request first and may
-// answer it in another way; nil for none.
+// SetMiddleware wraps the server's handler: the returned handler sees each request first and may
+// answer it itself. Nil removes the middleware.
 func (b *Backend) SetMiddleware(middleware func(own http.Handler) http.Handler) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.middleware = middleware
 }
 
-// front hands a request to the handler around the server's own, if there is one.
+// handle adds the server's limits and self-report to the answer, and passes the request to the
+// middleware, or to the server's handler if there is none.
 func (b *Backend) handle(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	middleware, limit := b.middleware, b.limit
@@ -37,30 +38,32 @@
 	own.ServeHTTP(w, r)
 }
 
-// SetLimit has each answer name a limit: the values that limit returns, none for no limit.
+// SetLimit adds to each answer the values that limit returns as the field of the server's limit;
+// an empty result states no limit, and a nil function sends no field. Requests are recorded from
+// then on (LimitRecords).
 func (b *Backend) SetLimit(limit func() []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit = limit
 }
 
-// LimitRecord is one request, of any kind, that came while the server had a limit to name.
+// LimitRecord is one request of any kind that arrived while a limit function was set.
 type LimitRecord struct {
 	At time.Time
-	// ID is empty for a call of a process's own.
+	// ID is empty for calls that aren't requests of callers.
 	ID, Path string
-	// Limits are the limits that its answer names.
+	// Limits are the limits that the answer stated.
 	Limits []string
 }
 
-// LimitRecords returns what came while the server had a limit to name.
+// LimitRecords returns the requests that arrived while a limit function was set.
 func (b *Backend) LimitRecords() []LimitRecord {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]LimitRecord(nil), b.limitRecords...)
 }
 
-// SetText sets what the n-th event of a run holds that a body asks for; nil for its number
+// SetText sets the text of the n-th event of a run for a request body; nil for the event's number
 // alone.
 func (b *Backend) SetText(text func(body string, n int) string) {
 	b.mu.Lock()
@@ -68,7 +71,7 @@
 	b.text = text
 }
 
-// WriteEvent returns an event with a number and a text of any lines.
+// WriteEvent returns an event with number n whose text may have several lines.
 func WriteEvent(n int, text string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "id: %d\n", n)
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Where an engine tells its state and takes orders, in the form of the users'
-// platform.
 const (
+	// reportPath and orderPath are where an engine reports its state and receives orders, in the
+	// protocol of the users' platform.
 	reportPath = "/-/report"
 	orderPath  = "/-/order"
 )
 
-// Order is an order that an engine has taken.
+// Order is an order that an engine has received.
 type Order struct {
 	Role   string
 	Holder string
@@ -21,22 +21,21 @@
 	At     time.Time
 }
 
-// Orders returns the orders that came so far, also those that were refused.
+// Orders returns all orders received so far, including refused ones.
 func (b *Backend) Orders() []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Order(nil), b.orders...)
 }
 
-// CurrentRole returns the role that an engine has now.
+// CurrentRole returns the engine's current role.
 func (b *Backend) CurrentRole() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Role
 }
 
-// serveControl answers what control asks an engine; it returns false for any
-// other request.
+// serveControl answers calls about the engine itself. It returns false for any other request.
 func (b *Backend) serveControl(w http.ResponseWriter, r *http.Request, body []byte) bool {
 	switch r.URL.Path {
 	case reportPath:
@@ -56,8 +55,8 @@
 	return true
 }
 
-// takeOrder changes the role of an engine at once, unless the order's fence or
-// sequence is old.
+// applyOrder changes the engine's role immediately, unless the order's fencing token or expected
+// sequence number is outdated.
 func (b *Backend) applyOrder(w http.ResponseWriter, body []byte) {
 	var in struct {
 		Stage        string `json:"stage"`
--- a/standin/run.go
+++ b/standin/run.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// run is the work of an engine on one request. It makes its events by its own clock,
-// whatever the connection takes of them: what it has made is ahead of what anybody has.
+// run is an engine's work on one request. It generates its events at its own pace, independently
+// of the connection, so it may be ahead of what any caller has received.
 type run struct {
 	id, body string
-	// key names it among the runs of an engine, of which several may be of one request.
+	// key identifies it among the engine's runs: several may belong to one request.
 	key int
-	// from is the last event that was made before it, last the last that it will make.
+	// from is the last event before the first that it generates, last the last that it generates.
 	from, last int
-	// wake holds a token when there is something new.
+	// wake holds a token when there are new events.
 	wake chan struct{}
-	// stopped, dropped and done are closed when it was stopped by a call, when nobody
-	// wants it any more, and when it has ended for any reason.
+	// stopped is closed when a call has stopped the run, dropped when it was abandoned, and done
+	// when it has ended for any reason.
 	stopped, dropped, done chan struct{}
 
 	mu        sync.Mutex
 	generated int
-	// over tells that it makes nothing any more, copying that a copy is under way.
+	// ended reports that it generates no more events, copying that a copy is in progress.
 	ended, copying bool
 	dropOnce       sync.Once
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// work makes the events. It returns when the run has ended.
+// work generates the events and returns when the run has ended.
 func (r *run) work(pace time.Duration) {
 	defer close(r.done)
 	defer r.end()
@@ -49,7 +49,7 @@
 	}
 }
 
-// makes notes an event, unless the run is over.
+// generate generates event n. It returns false if the run has ended.
 func (r *run) generate(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,14 +64,14 @@
 	return true
 }
 
-// count returns the last event that was made.
+// lastEvent returns the last generated event.
 func (r *run) lastEvent() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.generated
 }
 
-// end has nothing made any more. It returns false if that was so before.
+// end ends the generation of events. It returns false if it had ended before.
 func (r *run) end() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +80,7 @@
 	return !ended
 }
 
-// stop ends a run, so that its count stays as it is from now on. It returns false if the
-// run was over.
+// stop ends the run, which fixes its last event. It returns false if the run had ended before.
 func (r *run) stop() bool {
 	if !r.end() {
 		return false
@@ -90,7 +89,7 @@
 	return true
 }
 
-// unwanted ends a run that nobody waits for, after the time that the engine lingers.
+// abandon ends a run that no caller waits for, after the engine's linger time.
 func (r *run) abandon(linger time.Duration) {
 	if linger > 0 {
 		time.AfterFunc(linger, func() { r.abandon(0) })
@@ -99,7 +98,7 @@
 	r.dropOnce.Do(func() { close(r.dropped) })
 }
 
-// beginCopy takes the right to copy a run, which one call has at a time.
+// beginCopy starts a copy of the run. It returns false if another copy is in progress.
 func (r *run) beginCopy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +115,8 @@
 	r.copying = false
 }
 
-// start begins a run, which is known by its request until it has ended.
+// start starts a run, which can be found by its request until it has ended, and calls ended at its
+// end.
 func (b *Backend) start(id, body string, from int, ended func()) *run {
 	b.mu.Lock()
 	pace := b.event
@@ -138,7 +138,7 @@
 	return r
 }
 
-// endRuns ends all that the engine runs, and what it may still begin.
+// endRuns ends all runs, and those that are still started afterwards.
 func (b *Backend) endRuns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,8 +148,8 @@
 	}
 }
 
-// find returns a run of a request that has not ended; nil if there is none. Callers hold
-// the lock.
+// find returns an active run of a request, the newest unless the behaviour sets OldestFirst; nil
+// if there is none. The caller holds b.mu.
 func (b *Backend) find(id string) *run {
 	var found *run
 	for _, r := range b.runs {
--- a/standin/selfreport.go
+++ b/standin/selfreport.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// SelfReport is what one answer of a server says of the server.
+// SelfReport is what one answer of a server reports about the server.
 type SelfReport struct {
-	// RetryAfter turns the request away as not run, with these values of Retry-After; nil to
-	// serve it.
+	// RetryAfter rejects the request as not run, with these values of Retry-After; nil to serve
+	// it.
 	RetryAfter []string
-	// Leaving are the values of the field that tells that the server leaves; nil for none.
+	// Leaving are the values of the header by which a server announces that it leaves; nil for
+	// none.
 	Leaving []string
 }
 
-// SelfReportRecord is one request, of any kind, and what its answer said of the server.
+// SelfReportRecord is one request of any kind with the self-report in its answer.
 type SelfReportRecord struct {
 	At time.Time
-	// ID is empty for a call of a process's own.
+	// ID is empty for calls that aren't requests of callers.
 	ID, Method, Path string
 	SelfReport
 }
 
-// SetSelfReport has answers say something of the server; nil for nothing. What comes is noted from then
-// on (Asked).
+// SetSelfReport sets the function that returns the self-report of each answer; nil for none.
+// Requests are recorded from the first report on (SelfReportRecords).
 func (b *Backend) SetSelfReport(report func(r *http.Request) SelfReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.selfReport = report
 }
 
-// SelfReportRecords returns what came since answers first said something of the server.
+// SelfReportRecords returns the requests that arrived since answers first had a self-report.
 func (b *Backend) SelfReportRecords() []SelfReportRecord {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]SelfReportRecord(nil), b.reportRecords...)
 }
 
-// say sets what the answer says of the server; false if it turns the request away.
+// applySelfReport adds the server's self-report to the answer. It returns false if that rejects
+// the request, which is answered then.
 func (b *Backend) applySelfReport(w http.ResponseWriter, r *http.Request) bool {
 	b.mu.Lock()
 	selfReport, recording := b.selfReport, len(b.reportRecords) > 0
@@ -67,10 +69,10 @@
 	return false
 }
 
-// RejectFor has each answer turn its request away and ask to be left alone for some seconds.
+// RejectFor returns a self-report that rejects every request and asks for a pause of some seconds.
 func RejectFor(seconds string) func(*http.Request) SelfReport {
 	return func(*http.Request) SelfReport { return SelfReport{RetryAfter: []string{seconds}} }
 }
 
-// ReportLeaving has each answer tell that the server leaves.
+// ReportLeaving is a self-report that announces that the server leaves.
 func ReportLeaving(*http.Request) SelfReport { return SelfReport{Leaving: []string{"1"}} }
--- a/standin/unframed.go
+++ b/standin/unframed.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// unframed writes a stream that ends with its connection, so that one that is broken off
-// by a close looks whole.
+// unframedStream writes a stream that ends with its connection, so that one that is interrupted by
+// a close looks complete.
 type unframedStream struct {
 	server *Backend
 	conn   net.Conn
 	done   chan struct{}
 }
 
-// unframe takes the connection of an answer and writes its head.
+// unframe hijacks the connection of an answer and writes the header.
 func (b *Backend) unframe(w http.ResponseWriter) (*unframedStream, error) {
 	c, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -32,14 +32,13 @@
 	_ = buf.Flush()
 	go func() {
 		var one [1]byte
-		_, _ = c.Read(one[:]) // nothing comes but the end
+		_, _ = c.Read(one[:]) // the client sends nothing more: a read returns at its close
 		close(u.done)
 	}()
 	return u, nil
 }
 
-// closeUnframed ends the connections that the server of package http does not know any
-// more.
+// closeUnframed closes the hijacked connections, which http.Server no longer tracks.
 func (b *Backend) closeUnframed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
