--- a/replay/baseline.go
+++ b/replay/baseline.go
@@ -4,10 +4,10 @@
 
 // LeastLoaded takes the engines with the fewest requests, as they are at the moment.
 func LeastLoaded(_ *rand.Rand, prefill, decode []int) (p, d int) {
-	return least(prefill), least(decode)
+	return argmin(prefill), argmin(decode)
 }
 
-func least(load []int) int {
+func argmin(load []int) int {
 	best := 0
 	for i, n := range load {
 		if n < load[best] {
--- a/replay/callers.go
+++ b/replay/callers.go
@@ -9,141 +9,141 @@
 )
 
 // arrive takes new callers, and those who come back.
-func (x *play) arrive() {
-	rate := x.p.rate(x.at())
-	extra := x.p.hot(x.at()) * rate
-	for x.due += (rate + extra) * step.Seconds(); x.due >= 1; x.due-- {
-		x.out.Callers++
-		r := &request{first: x.now, answer: x.draw(x.p.Answer, x.p.Spread)}
-		r.organisation = x.organisation(extra / (rate + extra))
-		x.out.ask(r)
-		guess := float64(r.answer) * math.Exp(x.p.Hint*x.rng.NormFloat64())
-		r.work = dispatch.Work{Service: service, Prompt: x.draw(x.p.Prompt, x.p.Spread/2), Expected: max(int(hintMargin*guess), 1)}
-		x.take(r)
+func (s *simulation) arrive() {
+	rate := s.pattern.rate(s.elapsed())
+	extra := s.pattern.extraShare(s.elapsed()) * rate
+	for s.dueArrivals += (rate + extra) * step.Seconds(); s.dueArrivals >= 1; s.dueArrivals-- {
+		s.result.Callers++
+		r := &request{firstTryAt: s.now, answer: s.drawTokens(s.pattern.Answer, s.pattern.Spread)}
+		r.organisation = s.drawOrganisation(extra / (rate + extra))
+		s.result.addCaller(r)
+		estimate := float64(r.answer) * math.Exp(s.pattern.Hint*s.rng.NormFloat64())
+		r.work = dispatch.Work{Service: service, Prompt: s.drawTokens(s.pattern.Prompt, s.pattern.Spread/2), Expected: max(int(hintMargin*estimate), 1)}
+		s.submit(r)
 	}
-	back := x.returns[:0]
-	for _, r := range x.returns {
-		if r.until.After(x.now) {
-			back = append(back, r)
+	pending := s.retries[:0]
+	for _, r := range s.retries {
+		if r.deadline.After(s.now) {
+			pending = append(pending, r)
 		} else {
-			x.take(r)
+			s.submit(r)
 		}
 	}
-	x.returns = back
+	s.retries = pending
 }
 
 // organisation draws whose request comes; extra is the share of those that the hot one sends
 // beyond its usual.
-func (x *play) organisation(extra float64) int {
-	if x.p.Organisations == 0 || x.rng.Float64() < extra {
+func (s *simulation) drawOrganisation(extra float64) int {
+	if s.pattern.Organisations == 0 || s.rng.Float64() < extra {
 		return 0
 	}
-	return x.rng.IntN(x.p.Organisations)
+	return s.rng.IntN(s.pattern.Organisations)
 }
 
 // draw returns a number of tokens, spread evenly on a logarithmic scale around a mean.
-func (x *play) draw(mean int, spread float64) int {
-	return max(int(float64(mean)*math.Exp(spread*x.rng.NormFloat64()-spread*spread/2)), 1)
+func (s *simulation) drawTokens(mean int, spread float64) int {
+	return max(int(float64(mean)*math.Exp(spread*s.rng.NormFloat64()-spread*spread/2)), 1)
 }
 
 // take brings a request to a gateway.
-func (x *play) take(r *request) {
+func (s *simulation) submit(r *request) {
 	r.tries++
-	r.arrived = x.now
-	r.gateway = x.gateways[x.rng.IntN(len(x.gateways))]
-	if x.o.Policy != nil {
-		x.placeBy(r)
+	r.arrived = s.now
+	r.gateway = s.gateways[s.rng.IntN(len(s.gateways))]
+	if s.options.Policy != nil {
+		s.placeByPolicy(r)
 		return
 	}
 	g := r.gateway
-	patience := g.view.QueueTimeout(x.now, r.work, x.p.Target, g.queue.Len(), g.times)
-	if x.o.QueueTimeout != nil {
-		patience = x.o.QueueTimeout(x.p.Target)
+	timeout := g.fleet.QueueTimeout(s.now, r.work, s.pattern.Target, g.queue.Len(), g.times)
+	if s.options.QueueTimeout != nil {
+		timeout = s.options.QueueTimeout(s.pattern.Target)
 	}
-	r.until = x.now.Add(patience)
-	r.waiting = &dispatch.QueuedRequest{Work: r.work, Engine: x.route, Avoid: dispatch.Avoid{}}
-	if x.p.Organisations > 0 {
+	r.deadline = s.now.Add(timeout)
+	r.queued = &dispatch.QueuedRequest{Work: r.work, Engine: s.engineRoute, Avoid: dispatch.Avoid{}}
+	if s.pattern.Organisations > 0 {
 		name := strconv.Itoa(r.organisation)
-		x.shares.Add(x.now, name, float64(r.work.Prompt+r.work.Expected))
-		r.waiting.Work.OverShare = !x.o.NoFairShare && x.shares.Exceeds(x.now, name)
+		s.shares.Add(s.now, name, float64(r.work.Prompt+r.work.Expected))
+		r.queued.Work.OverShare = !s.options.NoFairShare && s.shares.Exceeds(s.now, name)
 	}
-	g.queue.Add(r.waiting)
-	g.waiting = append(g.waiting, r)
+	g.queue.Add(r.queued)
+	g.requests = append(g.requests, r)
 }
 
 // serve places what waits at a gateway.
-func (x *play) serve(g *gateway) {
-	if len(g.waiting) == 0 {
+func (s *simulation) serveQueue(g *gateway) {
+	if len(g.requests) == 0 {
 		return
 	}
-	var again []*request
-	g.view.ServeQueue(x.now, &g.queue, func(w *dispatch.QueuedRequest, pair dispatch.Pair) {
-		i := slices.IndexFunc(g.waiting, func(r *request) bool { return r.waiting == w })
-		r := g.waiting[i]
-		g.waiting = slices.Delete(g.waiting, i, i+1)
-		r.pair, r.placedAt, r.booked = pair, x.now, w.Work
-		if !x.byID[pair.Decode.ID].hold(r) {
-			g.view.Release(pair.Decode.ID, r.booked)
-			g.view.EndPrefill(pair.PrefillServer().ID, r.booked)
+	var requeued []*request
+	g.fleet.ServeQueue(s.now, &g.queue, func(w *dispatch.QueuedRequest, pair dispatch.Pair) {
+		i := slices.IndexFunc(g.requests, func(r *request) bool { return r.queued == w })
+		r := g.requests[i]
+		g.requests = slices.Delete(g.requests, i, i+1)
+		r.pair, r.placedAt, r.reserved = pair, s.now, w.Work
+		if !s.engines[pair.Decode.ID].reserve(r) {
+			g.fleet.Release(pair.Decode.ID, r.reserved)
+			g.fleet.EndPrefill(pair.PrefillServer().ID, r.reserved)
 			w.Avoid[pair.Decode.ID] = true
-			again = append(again, r)
+			requeued = append(requeued, r)
 			return
 		}
-		x.byID[pair.PrefillServer().ID].read(r)
+		s.engines[pair.PrefillServer().ID].addPrompt(r)
 	})
-	for _, r := range again {
-		g.queue.Add(r.waiting)
-		g.waiting = append(g.waiting, r)
+	for _, r := range requeued {
+		g.queue.Add(r.queued)
+		g.requests = append(g.requests, r)
 	}
 }
 
 // placeBy places a request by a simple policy, which looks at no memory: an engine
 // without room refuses it.
-func (x *play) placeBy(r *request) {
-	prefill, decode := make([]int, len(x.prefill)), make([]int, len(x.decode))
-	for i, e := range x.prefill {
-		prefill[i] = len(e.reads)
+func (s *simulation) placeByPolicy(r *request) {
+	prefill, decode := make([]int, len(s.prefill)), make([]int, len(s.decode))
+	for i, e := range s.prefill {
+		prefill[i] = len(e.prompts)
 	}
-	for i, e := range x.decode {
-		decode[i] = len(e.runs) + len(e.held)
+	for i, e := range s.decode {
+		decode[i] = len(e.runs) + len(e.reserved)
 	}
-	p, d := x.o.Policy(x.rng, prefill, decode)
-	if !x.decode[d].hold(r) {
-		x.refuse(r)
+	p, d := s.options.Policy(s.rng, prefill, decode)
+	if !s.decode[d].reserve(r) {
+		s.refuse(r)
 		return
 	}
-	view := r.gateway.view
-	r.pair = dispatch.Pair{Prefill: view.Get(x.prefill[p].id), Decode: view.Get(x.decode[d].id)}
-	r.placedAt, r.booked = x.now, r.work
-	view.Reserve(r.pair.Decode.ID, r.booked)
-	view.StartPrefill(r.pair.PrefillServer().ID, r.booked)
-	x.prefill[p].read(r)
+	view := r.gateway.fleet
+	r.pair = dispatch.Pair{Prefill: view.Get(s.prefill[p].id), Decode: view.Get(s.decode[d].id)}
+	r.placedAt, r.reserved = s.now, r.work
+	view.Reserve(r.pair.Decode.ID, r.reserved)
+	view.StartPrefill(r.pair.PrefillServer().ID, r.reserved)
+	s.prefill[p].addPrompt(r)
 }
 
 // giveUp refuses what has waited for as long as it may.
-func (x *play) giveUp(g *gateway) {
-	rest := g.waiting[:0]
-	for _, r := range g.waiting {
-		if x.now.Before(r.until) {
-			rest = append(rest, r)
+func (s *simulation) expireQueued(g *gateway) {
+	kept := g.requests[:0]
+	for _, r := range g.requests {
+		if s.now.Before(r.deadline) {
+			kept = append(kept, r)
 			continue
 		}
-		g.queue.Remove(r.waiting)
-		x.out.held += x.now.Sub(r.arrived)
-		x.refuse(r)
+		g.queue.Remove(r.queued)
+		s.result.totalRefusedWait += s.now.Sub(r.arrived)
+		s.refuse(r)
 	}
-	g.waiting = rest
+	g.requests = kept
 }
 
 // mostTries is the number of times that a caller asks.
-const mostTries = 2
+const maxTries = 2
 
 // refuse sends a caller away, who comes back once as told.
-func (x *play) refuse(r *request) {
-	x.out.Refused++
-	r.until = x.now.Add(dispatch.RetryAfter(r.gateway.times.Total, 0, x.rng.Float64()))
-	if r.tries >= mostTries || r.until.After(r.first.Add(x.p.Deadline)) {
+func (s *simulation) refuse(r *request) {
+	s.result.Refused++
+	r.deadline = s.now.Add(dispatch.RetryAfter(r.gateway.times.Total, 0, s.rng.Float64()))
+	if r.tries >= maxTries || r.deadline.After(r.firstTryAt.Add(s.pattern.Deadline)) {
 		return
 	}
-	x.returns = append(x.returns, r)
+	s.retries = append(s.retries, r)
 }
--- a/replay/pattern.go
+++ b/replay/pattern.go
@@ -110,7 +110,7 @@
 }
 
 // hot returns how much more than the rate comes at a time, as a part of it.
-func (p *Pattern) hot(at time.Duration) float64 {
+func (p *Pattern) extraShare(at time.Duration) float64 {
 	if p.Organisations == 0 || at < p.Hot.From || at >= p.Hot.From+p.Hot.For {
 		return 0
 	}
--- a/replay/result.go
+++ b/replay/result.go
@@ -27,10 +27,10 @@
 	// of them that were served in time.
 	Others, OthersInTime int
 
-	held time.Duration
+	totalRefusedWait time.Duration
 }
 
-func (r *Result) ask(q *request) {
+func (r *Result) addCaller(q *request) {
 	if q.organisation > 0 {
 		r.Others++
 	}
@@ -51,7 +51,7 @@
 		r.Median, r.P99 = firsts[n/2], firsts[n*99/100]
 	}
 	if r.Refused > 0 {
-		r.RefusedWait = r.held / time.Duration(r.Refused)
+		r.RefusedWait = r.totalRefusedWait / time.Duration(r.Refused)
 	}
 }
 
@@ -62,5 +62,5 @@
 func (r Result) String() string {
 	return fmt.Sprintf("in time %.3f  late %.3f  failed %.3f  refused tries %5d (held %3.0f ms)  preempted %4d  wasted %7d tokens  first token %4.0f ms, %5.0f ms for 99 in 100",
 		r.InTimeShare(), float64(r.Late)/float64(max(r.Callers, 1)), float64(r.Failed)/float64(max(r.Callers, 1)),
-		r.Refused, ms(r.RefusedWait), r.Preempted, r.Wasted, ms(r.Median), ms(r.P99))
+		r.Refused, milliseconds(r.RefusedWait), r.Preempted, r.Wasted, milliseconds(r.Median), milliseconds(r.P99))
 }
--- a/replay/play.go
+++ b/replay/simulation.go
@@ -18,13 +18,13 @@
 	step = 5 * time.Millisecond
 	// lag is the time between two tellings of what the other gateways have reserved,
 	// as replicas tell it.
-	lag = 50 * time.Millisecond
+	loadExchangeInterval = 50 * time.Millisecond
 	// handover is the time from a prompt that was read to the first token elsewhere:
 	// some round trips and the copy of the KV cache.
-	handover = 20 * time.Millisecond
+	transferTime = 20 * time.Millisecond
 	// heardEvery is the time between two reports of all engines.
-	heardEvery  = time.Second
-	eventTokens = 64
+	reportInterval = time.Second
+	eventTokens    = 64
 	// hintMargin is what gateways add to the callers' guesses.
 	hintMargin = 1.12
 	service    = "llm"
@@ -32,27 +32,27 @@
 
 // request is one request of a caller, through all of its tries.
 type request struct {
-	first, arrived time.Time
-	answer         int
+	firstTryAt, arrived time.Time
+	answer              int
 	// organisation is the number of whose it is; the first is the hot one.
 	organisation int
 	work         dispatch.Work
-	waiting      *dispatch.QueuedRequest
-	until        time.Time
+	queued       *dispatch.QueuedRequest
+	deadline     time.Time
 	tries        int
 	gateway      *gateway
 	pair         dispatch.Pair
 	placedAt     time.Time
-	firstAt      time.Time
-	booked       dispatch.Work
+	firstTokenAt time.Time
+	reserved     dispatch.Work
 }
 
 // gateway is one gateway: its decisions, and the requests that wait there.
 type gateway struct {
-	view    *dispatch.Fleet
-	queue   dispatch.Queue
-	times   dispatch.RunTimes
-	waiting []*request
+	fleet    *dispatch.Fleet
+	queue    dispatch.Queue
+	times    dispatch.RunTimes
+	requests []*request
 }
 
 // Options choose what is played.
@@ -73,158 +73,158 @@
 type Policy func(rng *rand.Rand, prefill, decode []int) (p, d int)
 
 // play is the state of a play.
-type play struct {
-	p        *Pattern
-	o        Options
-	rng      *rand.Rand
-	now      time.Time
-	start    time.Time
-	route    *route.Engine
-	gateways []*gateway
-	prefill  []*engine
-	decode   []*engine
-	byID     map[string]*engine
-	reports  []registry.Server
+type simulation struct {
+	pattern     *Pattern
+	options     Options
+	rng         *rand.Rand
+	now         time.Time
+	start       time.Time
+	engineRoute *route.Engine
+	gateways    []*gateway
+	prefill     []*engine
+	decode      []*engine
+	engines     map[string]*engine
+	reports     []registry.Server
 	// handovers are requests whose prompt has been read, with when their run begins.
-	handovers []handed
+	transfers []transfer
 	// returns are callers that come back, by when.
-	returns []*request
-	due     float64
+	retries     []*request
+	dueArrivals float64
 	// shares is what organisations use: gateways know it some tens of milliseconds late.
-	shares *quota.FairShares
-	out    Result
-	firsts []time.Duration
+	shares          *quota.FairShares
+	result          Result
+	firstTokenTimes []time.Duration
 }
 
-type handed struct {
-	r  *request
-	at time.Time
+type transfer struct {
+	req *request
+	at  time.Time
 }
 
 // Play plays a pattern.
 func Play(p Pattern, o Options) Result {
 	start := time.Unix(1_000_000, 0)
-	x := &play{
-		p: &p, o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), now: start, start: start,
-		route: p.engine(), byID: map[string]*engine{},
+	s := &simulation{
+		pattern: &p, options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), now: start, start: start,
+		engineRoute: p.engine(), engines: map[string]*engine{},
 	}
-	x.shares = quota.NewFairShares()
+	s.shares = quota.NewFairShares()
 	limits := map[string]quota.Limit{}
 	for n := range p.Organisations {
 		limits[strconv.Itoa(n)] = quota.Limit{Rate: 1}
 	}
-	x.shares.SetLimits(limits)
-	x.build()
+	s.shares.SetLimits(limits)
+	s.build()
 	end := start.Add(p.length() + p.Deadline)
-	for ; x.now.Before(end) && (x.at() < p.length() || x.busy()); x.now = x.now.Add(step) {
-		x.step()
+	for ; s.now.Before(end) && (s.elapsed() < p.length() || s.active()); s.now = s.now.Add(step) {
+		s.step()
 	}
-	x.out.finish(x.firsts)
-	return x.out
+	s.result.finish(s.firstTokenTimes)
+	return s.result
 }
 
-func (x *play) build() {
+func (s *simulation) build() {
 	add := func(role string, n int) []*engine {
 		var out []*engine
 		for i := range n {
-			e := &engine{id: fmt.Sprintf("%s-%d", role, i), p: x.p, held: map[*request]float64{}}
-			x.byID[e.id] = e
-			x.reports = append(x.reports, registry.Server{
-				ID: e.id, Service: service, Address: e.id, Zone: "z", Slots: x.p.Slots, State: registry.Ready, Role: role, Sequence: 1,
+			e := &engine{id: fmt.Sprintf("%s-%d", role, i), p: s.pattern, reserved: map[*request]float64{}}
+			s.engines[e.id] = e
+			s.reports = append(s.reports, registry.Server{
+				ID: e.id, Service: service, Address: e.id, Zone: "z", Slots: s.pattern.Slots, State: registry.Ready, Role: role, Sequence: 1,
 			})
 			out = append(out, e)
 		}
 		return out
 	}
-	x.prefill, x.decode = add(registry.Prefill, x.p.Prefill), add(registry.Decode, x.p.Decode)
-	for i := range x.p.Gateways {
-		g := &gateway{view: dispatch.NewFleet(fmt.Sprint("gateway-", i), "z")}
-		g.view.Update(x.now, x.reports)
-		g.view.SetGroupSize(service, registry.Prefill, x.p.Prefill)
-		g.view.SetGroupSize(service, registry.Decode, x.p.Decode)
-		x.gateways = append(x.gateways, g)
+	s.prefill, s.decode = add(registry.Prefill, s.pattern.Prefill), add(registry.Decode, s.pattern.Decode)
+	for i := range s.pattern.Gateways {
+		g := &gateway{fleet: dispatch.NewFleet(fmt.Sprint("gateway-", i), "z")}
+		g.fleet.Update(s.now, s.reports)
+		g.fleet.SetGroupSize(service, registry.Prefill, s.pattern.Prefill)
+		g.fleet.SetGroupSize(service, registry.Decode, s.pattern.Decode)
+		s.gateways = append(s.gateways, g)
 	}
 }
 
 // busy tells whether requests are still under way, or will come back.
-func (x *play) busy() bool {
-	if len(x.handovers)+len(x.returns) > 0 {
+func (s *simulation) active() bool {
+	if len(s.transfers)+len(s.retries) > 0 {
 		return true
 	}
-	for _, e := range x.byID {
-		if len(e.reads)+len(e.runs)+len(e.held) > 0 {
+	for _, e := range s.engines {
+		if len(e.prompts)+len(e.runs)+len(e.reserved) > 0 {
 			return true
 		}
 	}
-	for _, g := range x.gateways {
-		if len(g.waiting) > 0 {
+	for _, g := range s.gateways {
+		if len(g.requests) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (x *play) at() time.Duration { return x.now.Sub(x.start) }
+func (s *simulation) elapsed() time.Duration { return s.now.Sub(s.start) }
 
 // step plays one step: what ends, what begins, who comes, who has waited too long.
-func (x *play) step() {
-	if x.at()%heardEvery == 0 {
-		x.report()
+func (s *simulation) step() {
+	if s.elapsed()%reportInterval == 0 {
+		s.report()
 	}
-	if x.at()%lag == 0 {
-		x.share()
+	if s.elapsed()%loadExchangeInterval == 0 {
+		s.exchangeLoads()
 	}
-	x.read()
-	x.run()
-	x.arrive()
-	for _, g := range x.gateways {
-		x.serve(g)
-		x.giveUp(g)
+	s.stepPrefills()
+	s.stepDecodes()
+	s.arrive()
+	for _, g := range s.gateways {
+		s.serveQueue(g)
+		s.expireQueued(g)
 	}
 }
 
-func (x *play) report() {
-	ids := make([]string, len(x.reports))
-	for i, r := range x.reports {
+func (s *simulation) report() {
+	ids := make([]string, len(s.reports))
+	for i, r := range s.reports {
 		ids[i] = r.ID
 	}
-	for _, g := range x.gateways {
-		g.view.NoteHeartbeats(x.now, ids)
+	for _, g := range s.gateways {
+		g.fleet.NoteHeartbeats(s.now, ids)
 	}
 }
 
 // share tells each gateway what the others have reserved and seen.
-func (x *play) share() {
+func (s *simulation) exchangeLoads() {
 	total := map[string]dispatch.Load{}
 	seen := map[string]dispatch.Evidence{}
 	queued := 0
-	for _, g := range x.gateways {
-		for id, l := range g.view.Loads() {
+	for _, g := range s.gateways {
+		for id, l := range g.fleet.Loads() {
 			total[id] = total[id].Add(l)
 		}
-		for id, e := range g.view.Evidence(x.now) {
+		for id, e := range g.fleet.Evidence(s.now) {
 			seen[id] = seen[id].Add(e)
 		}
 		queued += g.queue.Len()
 	}
-	for _, g := range x.gateways {
+	for _, g := range s.gateways {
 		o := dispatch.OtherGateways{
-			Gateways: len(x.gateways), Known: len(x.gateways), Queued: queued - g.queue.Len(),
+			Gateways: len(s.gateways), Known: len(s.gateways), Queued: queued - g.queue.Len(),
 			Loads: map[string]dispatch.Load{}, Evidence: map[string]dispatch.Evidence{},
 		}
-		own, mine := g.view.Loads(), g.view.Evidence(x.now)
+		ownLoads, ownEvidence := g.fleet.Loads(), g.fleet.Evidence(s.now)
 		for id, l := range total {
-			o.Loads[id] = minus(l, own[id])
+			o.Loads[id] = subtract(l, ownLoads[id])
 		}
 		for id, e := range seen {
-			if !x.o.NoFailureSharing {
-				o.Evidence[id] = dispatch.Evidence{Good: e.Good - mine[id].Good, Bad: e.Bad - mine[id].Bad, Gateways: e.Gateways - mine[id].Gateways}
+			if !s.options.NoFailureSharing {
+				o.Evidence[id] = dispatch.Evidence{Good: e.Good - ownEvidence[id].Good, Bad: e.Bad - ownEvidence[id].Bad, Gateways: e.Gateways - ownEvidence[id].Gateways}
 			}
 		}
-		g.view.SetOthers(x.now, o)
+		g.fleet.SetOthers(s.now, o)
 	}
 }
 
-func minus(a, b dispatch.Load) dispatch.Load {
+func subtract(a, b dispatch.Load) dispatch.Load {
 	return dispatch.Load{Tokens: a.Tokens - b.Tokens, Prefill: a.Prefill - b.Prefill, Runs: a.Runs - b.Runs, Held: a.Held - b.Held}
 }
