--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,5 +1,5 @@
-// Command replay plays load patterns over the decisions of gateways in simulated time
-// and prints a table, for a person who tunes a policy.
+// Command replay simulates load patterns against the decisions of gateways and prints a table of
+// the results, for tuning policies.
 package main
 
 import (
@@ -14,14 +14,14 @@
 )
 
 type command struct {
-	Patterns []string `arg:"" type:"existingfile" help:"Files of load patterns, as replay/testdata/*.yaml."`
-	Seed     uint64   `default:"1" help:"The first seed; another one is another load of the same kind."`
-	Plays    int      `default:"3" help:"How many seeds are played."`
+	Patterns []string `arg:"" type:"existingfile" help:"Files of load patterns, such as replay/testdata/*.yaml."`
+	Seed     uint64   `default:"1" help:"The first seed. Each seed generates another load of the same kind."`
+	Plays    int      `default:"3" help:"Number of seeds to simulate."`
 }
 
 func main() {
 	var c command
-	kong.Parse(&c, kong.Description("Plays load patterns over the decisions of gateways."))
+	kong.Parse(&c, kong.Description("Simulates load patterns against the decisions of gateways."))
 	for _, path := range c.Patterns {
 		if err := c.play(path); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -43,8 +43,8 @@
 		}{
 			{"ledgepin", replay.Options{}},
 			{"failures not shared", replay.Options{NoFailureSharing: true}},
-			{"waits of 0.22 of the target", replay.Options{QueueTimeout: func(t time.Duration) time.Duration { return t * 22 / 100 }}},
-			{"waits of the whole target", replay.Options{QueueTimeout: func(t time.Duration) time.Duration { return t }}},
+			{"queue timeout 0.22 of target", replay.Options{QueueTimeout: func(t time.Duration) time.Duration { return t * 22 / 100 }}},
+			{"queue timeout = target", replay.Options{QueueTimeout: func(t time.Duration) time.Duration { return t }}},
 			{"least loaded", replay.Options{Policy: replay.LeastLoaded}},
 			{"round robin", replay.Options{Policy: replay.RoundRobin()}},
 		} {
--- a/replay/baseline.go
+++ b/replay/baseline.go
@@ -2,11 +2,12 @@
 
 import "math/rand/v2"
 
-// LeastLoaded takes the engines with the fewest requests, as they are at the moment.
+// LeastLoaded is a policy that chooses the engines with the fewest requests at the moment.
 func LeastLoaded(_ *rand.Rand, prefill, decode []int) (p, d int) {
 	return argmin(prefill), argmin(decode)
 }
 
+// argmin returns the index of the first smallest value.
 func argmin(load []int) int {
 	best := 0
 	for i, n := range load {
@@ -17,7 +18,7 @@
 	return best
 }
 
-// RoundRobin returns a policy that takes one engine after the other.
+// RoundRobin returns a policy that chooses the engines in turn.
 func RoundRobin() Policy {
 	next := 0
 	return func(_ *rand.Rand, prefill, decode []int) (p, d int) {
--- a/replay/callers.go
+++ b/replay/callers.go
@@ -8,7 +8,7 @@
 	"github.com/ledgepin/ledgepin/dispatch"
 )
 
-// arrive takes new callers, and those who come back.
+// arrive submits the new requests of this step and the retries that are due.
 func (s *simulation) arrive() {
 	rate := s.pattern.rate(s.elapsed())
 	extra := s.pattern.extraShare(s.elapsed()) * rate
@@ -32,8 +32,8 @@
 	s.retries = pending
 }
 
-// organisation draws whose request comes; extra is the share of those that the hot one sends
-// beyond its usual.
+// drawOrganisation draws the organisation of a request. extra is the share of requests that the
+// hot organisation sends beyond its usual load.
 func (s *simulation) drawOrganisation(extra float64) int {
 	if s.pattern.Organisations == 0 || s.rng.Float64() < extra {
 		return 0
@@ -41,12 +41,14 @@
 	return s.rng.IntN(s.pattern.Organisations)
 }
 
-// draw returns a number of tokens, spread evenly on a logarithmic scale around a mean.
+// drawTokens draws a number of tokens from a log-normal distribution with a mean and a standard
+// deviation of the logarithm.
 func (s *simulation) drawTokens(mean int, spread float64) int {
 	return max(int(float64(mean)*math.Exp(spread*s.rng.NormFloat64()-spread*spread/2)), 1)
 }
 
-// take brings a request to a gateway.
+// submit sends a request to a random gateway, which queues it, or places it by the policy of the
+// options.
 func (s *simulation) submit(r *request) {
 	r.tries++
 	r.arrived = s.now
@@ -71,7 +73,8 @@
 	g.requests = append(g.requests, r)
 }
 
-// serve places what waits at a gateway.
+// serveQueue places queued requests of a gateway. A request that its decode engine has no memory
+// for is queued again and avoids that engine.
 func (s *simulation) serveQueue(g *gateway) {
 	if len(g.requests) == 0 {
 		return
@@ -97,8 +100,8 @@
 	}
 }
 
-// placeBy places a request by a simple policy, which looks at no memory: an engine
-// without room refuses it.
+// placeByPolicy places a request by the policy of the options. Such a policy ignores memory, so an
+// engine without free memory refuses the request.
 func (s *simulation) placeByPolicy(r *request) {
 	prefill, decode := make([]int, len(s.prefill)), make([]int, len(s.decode))
 	for i, e := range s.prefill {
@@ -120,7 +123,7 @@
 	s.prefill[p].addPrompt(r)
 }
 
-// giveUp refuses what has waited for as long as it may.
+// expireQueued refuses the requests whose queue timeout has passed.
 func (s *simulation) expireQueued(g *gateway) {
 	kept := g.requests[:0]
 	for _, r := range g.requests {
@@ -135,10 +138,11 @@
 	g.requests = kept
 }
 
-// mostTries is the number of times that a caller asks.
+// maxTries is the number of times that a caller sends a request.
 const maxTries = 2
 
-// refuse sends a caller away, who comes back once as told.
+// refuse refuses a request. Its caller retries once after the stated time, unless its deadline
+// passes before.
 func (s *simulation) refuse(r *request) {
 	s.result.Refused++
 	r.deadline = s.now.Add(dispatch.RetryAfter(r.gateway.times.Total, 0, s.rng.Float64()))
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -1,9 +1,10 @@
-// Package replay plays a load pattern over the decisions of package dispatch and
-// roles, in simulated time: gateways that hear of each other late, engines with slots,
-// memory and a pace, callers who come back when they are told to. It tells how many
-// requests were served in time, late, or not at all, what prompts were read for nothing,
-// and how long requests waited, so that a policy can be tuned and a gain kept by a test.
+// Package replay simulates a load pattern against the decisions of package dispatch in simulated
+// time: gateways that exchange their reservations with a delay, engines with slots, memory and a
+// processing rate, and callers that retry after the time that a refusal states. A result counts
+// the requests served in time, late or not at all, the prompt tokens that were computed in vain,
+// and the time that requests waited, so that policies can be tuned and their gains guarded by
+// tests.
 //
-// It is a model, much simpler than engines are: what it shows of two policies is which
-// one is better under a pattern and why, not what either is worth in operation.
+// The model of an engine is much simpler than a real one. A comparison of two policies shows which
+// is better under a pattern and why, not what either achieves in operation.
 package replay
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// run is a request at a decode engine.
+// run is an active request at a decode engine.
 type run struct {
 	req *request
-	// holds is the memory that it has, in tokens, made the tokens of its answer.
+	// memory is the KV memory that it uses, in tokens, generated the tokens of its answer so far.
 	memory, generated float64
 }
 
-// engine is one model engine.
+// engine is a simulated model engine.
 type engine struct {
 	id string
 	p  *Pattern
-	// reads are the prompts that wait to be read, the first with what is left of it.
+	// prompts are the queued prompts. The first is being computed, with remaining tokens.
 	prompts   []*request
 	remaining float64
 	runs      []*run
-	// held is memory that is set aside for prompts that are being read, by request.
+	// reserved is the memory reserved for prompts that are being computed, in tokens.
 	reserved map[*request]float64
 }
 
-// memory is what runs and what is set aside for them have.
+// memory returns the memory of the active runs and the reservations, in tokens.
 func (e *engine) memory() float64 {
 	sum := 0.0
 	for _, r := range e.runs {
@@ -35,7 +35,7 @@
 	return sum
 }
 
-// hold sets memory aside for a prompt, if there is room for it now.
+// reserve reserves memory for a prompt and reports whether a slot and enough memory were free.
 func (e *engine) reserve(r *request) bool {
 	if len(e.runs)+len(e.reserved) >= e.p.Slots || e.memory()+float64(r.work.Prompt) > float64(e.p.KVTokens) {
 		return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-// read begins to read a prompt after those that wait.
+// addPrompt queues a prompt.
 func (e *engine) addPrompt(r *request) {
 	if len(e.prompts) == 0 {
 		e.remaining = float64(r.work.Prompt)
@@ -52,7 +52,7 @@
 	e.prompts = append(e.prompts, r)
 }
 
-// stepReads reads for a time, and returns the prompts that have been read.
+// stepPrefills computes prompts for a time and returns the completed ones.
 func (e *engine) stepPrefills(d time.Duration) []*request {
 	var done []*request
 	tokens := e.p.ReadRate * milliseconds(d)
@@ -72,14 +72,14 @@
 	return done
 }
 
-// begin starts a run in the memory that was set aside for it.
+// startRun starts a run in the memory reserved for it.
 func (e *engine) startRun(r *request) {
 	delete(e.reserved, r)
 	e.runs = append(e.runs, &run{req: r, memory: float64(r.work.Prompt)})
 }
 
-// stepRuns makes tokens for a time. It returns the runs that have ended, and those that
-// were preempted since the memory ran out: the newest.
+// stepRuns generates tokens for a time. It returns the runs that ended, and the runs that were
+// preempted because the memory was full, the newest first.
 func (e *engine) stepRuns(d time.Duration) (ended, preempted []*run) {
 	pace := milliseconds(d) / (e.p.Step + e.p.StepPerRun*float64(len(e.runs)))
 	var kept []*run
--- a/replay/progress.go
+++ b/replay/progress.go
@@ -7,7 +7,8 @@
 	"github.com/ledgepin/ledgepin/dispatch"
 )
 
-// read goes on with the prompts, and hands those that have been read over.
+// stepPrefills continues the prefills, transfers the KV caches of completed ones, and starts the
+// runs whose transfers are complete.
 func (s *simulation) stepPrefills() {
 	for _, e := range slices.Concat(s.prefill, s.decode) {
 		for _, r := range e.stepPrefills(step) {
@@ -27,7 +28,7 @@
 	s.transfers = kept
 }
 
-// begin starts a run, or has it fail.
+// startRun starts a run, or fails it if its engine fails requests at the time.
 func (s *simulation) startRun(r *request) {
 	id := r.pair.Decode.ID
 	e := s.engines[id]
@@ -45,7 +46,7 @@
 	}
 }
 
-// run goes on with the answers.
+// stepDecodes generates the tokens of one step.
 func (s *simulation) stepDecodes() {
 	for _, e := range s.decode {
 		ended, preempted := e.stepRuns(step)
@@ -53,7 +54,7 @@
 			s.finishRun(e, done.req)
 		}
 		for _, preemptedRun := range preempted {
-			// It is read anew where it ran, and is late by then.
+			// Its prompt is computed again at the same engine; its first token counts as late.
 			s.result.Wasted += int(preemptedRun.memory)
 			s.result.Preempted++
 			preemptedRun.req.firstTokenAt = preemptedRun.req.firstTryAt.Add(s.pattern.Deadline)
@@ -68,7 +69,7 @@
 	}
 }
 
-// end takes a whole answer.
+// finishRun records a complete answer.
 func (s *simulation) finishRun(e *engine, r *request) {
 	g := r.gateway
 	g.fleet.Release(e.id, r.reserved)
--- a/replay/result.go
+++ b/replay/result.go
@@ -6,25 +6,24 @@
 	"time"
 )
 
-// Result is what became of the requests of a play.
+// Result counts the outcomes of a simulation's requests.
 type Result struct {
-	// Asked are the callers; of their requests InTime had their first token within the
-	// target, counted from the first try, and Late had it later. Failed are those that
-	// an engine failed.
+	// Callers is the number of callers. InTime of their requests had their first token within the
+	// target, counted from the first try, Late had it later, and Failed were failed by an engine.
 	Callers, InTime, Late, Failed int
-	// Refused counts the tries that were turned away, Preempted the runs that an engine
-	// put off for want of memory.
+	// Refused counts the refused tries, Preempted the runs that an engine preempted because its
+	// memory was full.
 	Refused, Preempted int
-	// Wasted are prompt tokens that were read for nothing or again.
+	// Wasted counts the prompt tokens that were computed in vain or repeatedly.
 	Wasted int
-	// Median and Slow are the times to the first token of half, and of 99 in 100, of
-	// the requests that were served.
+	// Median and P99 are the 50th and 99th percentile of the time to the first token of the served
+	// requests.
 	Median, P99 time.Duration
-	// Held is the mean time that a refused try was kept waiting.
+	// RefusedWait is the mean time that a refused try waited in a queue.
 	RefusedWait time.Duration
 
-	// Quiet counts the callers of all organisations but the hot one, and QuietInTime those
-	// of them that were served in time.
+	// Others counts the callers of all organisations but the hot one, and OthersInTime those of
+	// them that were served in time.
 	Others, OthersInTime int
 
 	totalRefusedWait time.Duration
@@ -36,11 +35,11 @@
 	}
 }
 
-// QuietShare is the share served in time of the callers of all organisations but the hot
-// one, HotShare that of the hot one's.
+// OthersShare returns the share of the callers of all organisations but the hot one that were
+// served in time.
 func (r Result) OthersShare() float64 { return float64(r.OthersInTime) / float64(max(r.Others, 1)) }
 
-// HotShare is the share of the hot organisation's callers that were served in time.
+// HotShare returns the share of the hot organisation's callers that were served in time.
 func (r Result) HotShare() float64 {
 	return float64(r.InTime-r.OthersInTime) / float64(max(r.Callers-r.Others, 1))
 }
@@ -55,12 +54,12 @@
 	}
 }
 
-// Share is the share of the callers served in time.
+// InTimeShare returns the share of all callers that were served in time.
 func (r Result) InTimeShare() float64 { return float64(r.InTime) / float64(max(r.Callers, 1)) }
 
-// String is one line of a table.
+// String returns one line of a table.
 func (r Result) String() string {
-	return fmt.Sprintf("in time %.3f  late %.3f  failed %.3f  refused tries %5d (held %3.0f ms)  preempted %4d  wasted %7d tokens  first token %4.0f ms, %5.0f ms for 99 in 100",
+	return fmt.Sprintf("in time %.3f  late %.3f  failed %.3f  refused tries %5d (queued %3.0f ms)  preempted %4d  wasted %7d tokens  first token median %4.0f ms, p99 %5.0f ms",
 		r.InTimeShare(), float64(r.Late)/float64(max(r.Callers, 1)), float64(r.Failed)/float64(max(r.Callers, 1)),
 		r.Refused, milliseconds(r.RefusedWait), r.Preempted, r.Wasted, milliseconds(r.Median), milliseconds(r.P99))
 }
--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -12,29 +12,28 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// Times of the model.
 const (
-	// step is the time of one step of the play.
+	// step is the time between two steps of the simulation.
 	step = 5 * time.Millisecond
-	// lag is the time between two tellings of what the other gateways have reserved,
-	// as replicas tell it.
+	// loadExchangeInterval is the time between two updates from the replicas of control on the
+	// reservations of other gateways.
 	loadExchangeInterval = 50 * time.Millisecond
-	// handover is the time from a prompt that was read to the first token elsewhere:
+	// transferTime is the time from the end of a prefill to the first token at the decode engine:
 	// some round trips and the copy of the KV cache.
 	transferTime = 20 * time.Millisecond
-	// heardEvery is the time between two reports of all engines.
+	// reportInterval is the time between two reports of all engines.
 	reportInterval = time.Second
 	eventTokens    = 64
-	// hintMargin is what gateways add to the callers' guesses.
+	// hintMargin is the factor by which gateways increase the callers' estimates.
 	hintMargin = 1.12
 	service    = "llm"
 )
 
-// request is one request of a caller, through all of its tries.
+// request is one request of a caller with all of its tries.
 type request struct {
 	firstTryAt, arrived time.Time
 	answer              int
-	// organisation is the number of whose it is; the first is the hot one.
+	// organisation is the number of its organisation; the hot one is 0.
 	organisation int
 	work         dispatch.Work
 	queued       *dispatch.QueuedRequest
@@ -47,7 +46,7 @@
 	reserved     dispatch.Work
 }
 
-// gateway is one gateway: its decisions, and the requests that wait there.
+// gateway is a gateway: its view of the fleet, its queue and the queued requests.
 type gateway struct {
 	fleet    *dispatch.Fleet
 	queue    dispatch.Queue
@@ -55,24 +54,25 @@
 	requests []*request
 }
 
-// Options choose what is played.
+// Options choose the variant that is simulated.
 type Options struct {
 	Seed uint64
-	// Policy places requests; nil is that of ledgepin.
+	// Policy places requests; nil selects ledgepin's placement.
 	Policy Policy
-	// Alone leaves out what gateways tell each other of failures.
+	// NoFailureSharing disables the exchange of failures between gateways.
 	NoFailureSharing bool
-	// Unfair has all requests wait in the order in which they came, whoever sends them.
+	// NoFairShare serves queued requests in order of arrival, whichever organisation sends them.
 	NoFairShare bool
-	// Patience returns how long a request waits for room; nil is that of ledgepin.
+	// QueueTimeout returns how long a request waits for capacity; nil selects ledgepin's queue
+	// timeout.
 	QueueTimeout func(target time.Duration) time.Duration
 }
 
-// Policy chooses engines without looking at memory, as simple balancers do. It returns
-// the prefill and the decode engine by number.
+// Policy chooses engines without regard to memory, as simple balancers do. It receives the number
+// of requests of each prefill and decode engine and returns the indices of the chosen ones.
 type Policy func(rng *rand.Rand, prefill, decode []int) (p, d int)
 
-// play is the state of a play.
+// simulation is the state of a simulation.
 type simulation struct {
 	pattern     *Pattern
 	options     Options
@@ -85,23 +85,27 @@
 	decode      []*engine
 	engines     map[string]*engine
 	reports     []registry.Server
-	// handovers are requests whose prompt has been read, with when their run begins.
+	// transfers are the requests that start a run later: after the transfer of their KV cache, or
+	// after a prefill that a preemption made necessary.
 	transfers []transfer
-	// returns are callers that come back, by when.
+	// retries are the refused requests whose callers send them again.
 	retries     []*request
 	dueArrivals float64
-	// shares is what organisations use: gateways know it some tens of milliseconds late.
+	// shares is the usage of the organisations. Unlike real gateways, which receive it some tens
+	// of milliseconds late, all gateways share it here.
 	shares          *quota.FairShares
 	result          Result
 	firstTokenTimes []time.Duration
 }
 
+// transfer is a request whose run starts at a time.
 type transfer struct {
 	req *request
 	at  time.Time
 }
 
-// Play plays a pattern.
+// Play simulates a pattern and returns its result. The same pattern and options yield the same
+// result.
 func Play(p Pattern, o Options) Result {
 	start := time.Unix(1_000_000, 0)
 	s := &simulation{
@@ -146,7 +150,7 @@
 	}
 }
 
-// busy tells whether requests are still under way, or will come back.
+// active reports whether requests are in progress or will be retried.
 func (s *simulation) active() bool {
 	if len(s.transfers)+len(s.retries) > 0 {
 		return true
@@ -166,7 +170,7 @@
 
 func (s *simulation) elapsed() time.Duration { return s.now.Sub(s.start) }
 
-// step plays one step: what ends, what begins, who comes, who has waited too long.
+// step simulates one step: progress of prefills and runs, arrivals, placement, and queue timeouts.
 func (s *simulation) step() {
 	if s.elapsed()%reportInterval == 0 {
 		s.report()
@@ -193,7 +197,7 @@
 	}
 }
 
-// share tells each gateway what the others have reserved and seen.
+// exchangeLoads updates each gateway's view of the reservations and evidence of the others.
 func (s *simulation) exchangeLoads() {
 	total := map[string]dispatch.Load{}
 	seen := map[string]dispatch.Evidence{}
