--- a/replay/callers.go
+++ b/replay/callers.go
@@ -23,7 +23,7 @@
 	}
 	pending := s.retries[:0]
 	for _, r := range s.retries {
-		if r.deadline.After(s.now) {
+		if r.waitUntil.After(s.now) {
 			pending = append(pending, r)
 		} else {
 			s.submit(r)
@@ -62,7 +62,7 @@
 	if s.options.QueueTimeout != nil {
 		timeout = s.options.QueueTimeout(s.pattern.Target)
 	}
-	r.deadline = s.now.Add(timeout)
+	r.waitUntil = s.now.Add(timeout)
 	r.queued = &dispatch.QueuedRequest{Work: r.work, Engine: s.engineRoute, Avoid: dispatch.Avoid{}}
 	if s.pattern.Organisations > 0 {
 		name := strconv.Itoa(r.organisation)
@@ -127,7 +127,7 @@
 func (s *simulation) expireQueued(g *gateway) {
 	kept := g.requests[:0]
 	for _, r := range g.requests {
-		if s.now.Before(r.deadline) {
+		if s.now.Before(r.waitUntil) {
 			kept = append(kept, r)
 			continue
 		}
@@ -145,8 +145,8 @@
 // passes before.
 func (s *simulation) refuse(r *request) {
 	s.result.Refused++
-	r.deadline = s.now.Add(dispatch.RetryAfter(r.gateway.times.Total, 0, s.rng.Float64()))
-	if r.tries >= maxTries || r.deadline.After(r.firstTryAt.Add(s.pattern.Deadline)) {
+	r.waitUntil = s.now.Add(dispatch.RetryAfter(r.gateway.times.Total, 0, s.rng.Float64()))
+	if r.tries >= maxTries || r.waitUntil.After(r.firstTryAt.Add(s.pattern.Deadline)) {
 		return
 	}
 	s.retries = append(s.retries, r)
--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -37,7 +37,7 @@
 	organisation int
 	work         dispatch.Work
 	queued       *dispatch.QueuedRequest
-	deadline     time.Time
+	waitUntil    time.Time
 	tries        int
 	gateway      *gateway
 	pair         dispatch.Pair
