--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -37,6 +37,7 @@
 	organisation int
 	work         dispatch.Work
 	queued       *dispatch.QueuedRequest
+	// waitUntil is the end of its queue timeout, or the time of its retry after a refusal.
 	waitUntil    time.Time
 	tries        int
 	gateway      *gateway
