--- a/policybench/policy.go
+++ b/policybench/policy.go
@@ -23,7 +23,7 @@
 
 // policyNamed returns a maker of policies, one for each entry. Wide tells that
 // the policy has no admission, so that engines queue whatever comes.
-func policyNamed(name string) (make func() router.Policy, wide bool) {
+func newPolicyByName(name string) (newPolicy func() router.Policy, unbounded bool) {
 	switch name {
 	case NoReservation:
 		return func() router.Policy {
@@ -42,21 +42,21 @@
 }
 
 // pick chooses one server of a list.
-type pick func(list []*placement.Server, q placement.Query) *placement.Server
+type chooseServer func(list []*placement.Server, q placement.Query) *placement.Server
 
 // baseline starts each request at once, at the server that pick chooses, and
 // looks for a decode server only when the prefill is done.
-func baseline(p pick) router.Policy {
+func baseline(choose chooseServer) router.Policy {
 	return router.Policy{
 		Choose: func(v *placement.View, _ time.Time, q placement.Query) placement.Choice {
-			s := p(usable(v.Prefill(), false), q)
+			s := choose(usable(v.Prefill(), false), q)
 			if s == nil {
 				return placement.Choice{Exclusion: placement.Disconnected}
 			}
 			return placement.Choice{Prefill: s, Work: q.Tokens}
 		},
 		ChooseDecode: func(v *placement.View, _ time.Time, q placement.Query, _ *placement.Server) *placement.Server {
-			return p(usable(v.Decode(), true), q)
+			return choose(usable(v.Decode(), true), q)
 		},
 	}
 }
@@ -71,7 +71,7 @@
 	return out
 }
 
-func roundRobin() pick {
+func roundRobin() chooseServer {
 	n := 0
 	return func(list []*placement.Server, _ placement.Query) *placement.Server {
 		if len(list) == 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-func best(list []*placement.Server, cost func(*placement.Server) float64) *placement.Server {
+func minBy(list []*placement.Server, cost func(*placement.Server) float64) *placement.Server {
 	var out *placement.Server
 	for _, s := range list {
 		if out == nil || cost(s) < cost(out) {
@@ -93,14 +93,14 @@
 }
 
 func leastOutstanding(list []*placement.Server, _ placement.Query) *placement.Server {
-	return best(list, func(s *placement.Server) float64 { return float64(s.Outstanding()) })
+	return minBy(list, func(s *placement.Server) float64 { return float64(s.Outstanding()) })
 }
 
 // smallestTotal is the rule of SWARM parallelism (Ryabinin et al., 2023): give
 // the work to the peer that would be done first, by its queue and its measured
 // speed.
 func smallestTotal(list []*placement.Server, q placement.Query) *placement.Server {
-	return best(list, func(s *placement.Server) float64 {
+	return minBy(list, func(s *placement.Server) float64 {
 		if s.Role == "decode" {
 			return float64(s.Outstanding()+1) * s.TokenTime().Seconds()
 		}
