--- a/policybench/bench.go
+++ b/policybench/bench.go
@@ -9,12 +9,12 @@
 	"github.com/ledgepin/ledgepin/router"
 )
 
-// Case is one run.
+// Case is the configuration of one run.
 type Case struct {
 	Mix    Mix
 	Load   float64
 	Policy string
-	// Faults are the names of what goes wrong; see Faults.
+	// Faults are the names of the faults to inject; see Faults.
 	Faults []string
 	Seed   uint64
 	// Length is how long requests arrive, in virtual time.
@@ -24,7 +24,7 @@
 // entries is the number of entries that share the servers.
 const entries = 3
 
-// bench is one run in progress.
+// bench is a run in progress.
 type bench struct {
 	clock
 	mix            Mix
@@ -39,7 +39,7 @@
 	violations     []string
 	reportsStopped bool
 	prefillSeq     int
-	// lost is the capacity that faults took away, in seconds by server.
+	// lostCapacity is the time for which faults took each server out of service.
 	lostCapacity map[string]time.Duration
 	arrivalsEnd  time.Time
 }
@@ -90,13 +90,13 @@
 	return b.result(c)
 }
 
-// drainTime is how long a run goes on after the last arrival.
+// drainTime is how long a run continues after the last arrival.
 const drainTime = 100 * time.Second
 
 func (b *bench) setup(policy func() router.Policy, unbounded bool, seed uint64) {
 	prefillSlots := 8
 	if unbounded {
-		prefillSlots = 100000 // the engine queues whatever comes
+		prefillSlots = 100000 // the engine queues all requests
 	}
 	for i := range b.mix.Prefill {
 		b.addServer(newServer(b, fmt.Sprintf("p%d", i), "prefill", speedFactor(i), prefillSlots))
@@ -121,8 +121,7 @@
 	b.serverList = append(b.serverList, s)
 }
 
-// arrive gives a request to one of the entries that live, as the platform's
-// balancer does.
+// arrive submits a request to a random live entry, as the platform's load balancer does.
 func (b *bench) arrive(r *request) {
 	first := b.rng.IntN(entries)
 	for i := range entries {
@@ -139,7 +138,7 @@
 	r.entry.apply(r.entry.router.Submit(b.now, r.req, 0))
 }
 
-// leave lets a caller go away.
+// disconnectCaller ends a request whose caller has disconnected.
 func (b *bench) disconnectCaller(r *request) {
 	if r.outcome != "" || r.entry == nil {
 		return
@@ -152,7 +151,7 @@
 	b.watchMemoryRelease(r)
 }
 
-// watch notes when no engine holds memory for a caller that is gone.
+// watchMemoryRelease records when no engine holds memory for a disconnected caller any more.
 func (b *bench) watchMemoryRelease(r *request) {
 	for _, s := range b.serverList {
 		if s.holdsMemory(r.req.ID) {
@@ -165,21 +164,21 @@
 
 func (b *bench) setOutcome(r *request, outcome string) {
 	if r.outcome != "" {
-		b.reportViolation("%s is %s after it was %s", r.req.ID, outcome, r.outcome)
+		b.reportViolation("%s: outcome %s after outcome %s", r.req.ID, outcome, r.outcome)
 		return
 	}
 	r.outcome = outcome
 }
 
-// refused checks that a request that is told "not run" did not run.
+// refuse ends a refused request. It checks that a request refused as not run has not run.
 func (b *bench) refuse(r *request, x router.Refuse) {
 	if x.Code.NotRun && r.ran {
-		b.reportViolation("%s was refused as not run, and ran", r.req.ID)
+		b.reportViolation("%s was refused as not run, but an engine ran it", r.req.ID)
 	}
 	b.setOutcome(r, "refused")
 }
 
-// checkEmpty looks for leftovers once all callers are served.
+// checkEmpty reports leases, requests and slots that are still in use at the end of the run.
 func (b *bench) checkEmpty() {
 	for _, s := range b.serverList {
 		if s.alive && s.agentUp && (s.leases.Used() > 0 || len(s.running) > 0) {
@@ -197,7 +196,7 @@
 		}
 		for _, s := range b.serverList {
 			if n := e.router.View().Server(s.name).OwnSlots(); e.alive && n != 0 {
-				b.reportViolation("%s counts %d slots of its own at %s at the end", e.name, n, s.name)
+				b.reportViolation("%s counts %d own slots in use at %s at the end", e.name, n, s.name)
 			}
 		}
 	}
--- a/policybench/bounds_test.go
+++ b/policybench/bounds_test.go
@@ -12,7 +12,7 @@
 	"github.com/ledgepin/ledgepin/strict"
 )
 
-// bounds is the file of the bounds.
+// bounds is the content of testdata/bounds.yaml.
 type bounds struct {
 	Runs []bound `yaml:"runs"`
 }
@@ -22,17 +22,16 @@
 	Mix    string   `yaml:"mix"`
 	Load   float64  `yaml:"load"`
 	Faults []string `yaml:"faults"`
-	// OfBound is the least goodput as a share of the best possible one.
+	// OfBound is the minimum goodput as a share of the upper bound on goodput.
 	OfBound float64 `yaml:"of_bound"`
-	// OverBaseline is the least goodput as a multiple of the best baseline; the
-	// baselines are only run if it is given.
+	// OverBaseline is the minimum goodput as a multiple of the best baseline's. The baselines only
+	// run if it is set.
 	OverBaseline float64 `yaml:"over_baseline"`
-	// Wasted is the most prefill work that may be thrown away, as a share.
+	// Wasted is the maximum share of prefill work whose result is discarded.
 	Wasted float64 `yaml:"wasted"`
-	// Interactive is the least goodput of the interactive classes.
+	// Interactive is the minimum goodput of each interactive class.
 	Interactive float64 `yaml:"interactive"`
-	// Held is the longest time that memory may be held for a caller that is
-	// gone.
+	// Held is the maximum time for which memory is held for a disconnected caller.
 	Held strict.Duration `yaml:"held"`
 }
 
@@ -83,7 +82,7 @@
 	return best
 }
 
-// TestSameFigures runs a case twice: nothing but the seed may decide it.
+// TestSameSeedSameResult guards against results that depend on anything but the case and its seed.
 func TestSameSeedSameResult(t *testing.T) {
 	c := Case{Mix: Azienda(), Load: 1.2, Policy: Ledgepin, Faults: []string{DecodeDies, EntryDies}, Seed: 7, Length: 20 * time.Second}
 	var a, b bytes.Buffer
@@ -92,8 +91,8 @@
 	assert.Equal(t, a.String(), b.String())
 }
 
-// TestFaultsHit checks that each fault changes the run, so that a bound under
-// a fault can't hold because nothing happened.
+// TestFaultsHaveEffect checks that each fault changes the result. A bound under a fault could
+// otherwise hold because the fault was never injected.
 func TestFaultsHaveEffect(t *testing.T) {
 	run := func(faults ...string) string {
 		var out bytes.Buffer
--- a/policybench/clock.go
+++ b/policybench/clock.go
@@ -8,7 +8,8 @@
 // start is the first moment of virtual time.
 var start = time.Unix(1_000_000, 0)
 
-// clock runs events in order of virtual time.
+// clock runs events in order of virtual time; events of the same time run in the order in which
+// they were added.
 type clock struct {
 	now    time.Time
 	seq    int
@@ -21,7 +22,7 @@
 	do  func()
 }
 
-// after runs do when d has passed.
+// after calls do after d.
 func (c *clock) after(d time.Duration, do func()) { c.at(c.now.Add(d), do) }
 
 func (c *clock) at(t time.Time, do func()) {
@@ -29,7 +30,7 @@
 	heap.Push(&c.events, event{t, c.seq, do})
 }
 
-// run runs events until end.
+// run runs all events until end.
 func (c *clock) run(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := heap.Pop(&c.events).(event)
@@ -39,7 +40,7 @@
 	c.now = end
 }
 
-// every runs do again and again.
+// every calls do every d.
 func (c *clock) every(d time.Duration, do func()) {
 	c.after(d, func() {
 		do()
--- a/policybench/entry.go
+++ b/policybench/entry.go
@@ -11,7 +11,7 @@
 	"github.com/ledgepin/ledgepin/stream"
 )
 
-// entry is the real router with a thin shell on virtual time.
+// entry runs a real router in virtual time.
 type entry struct {
 	b      *bench
 	name   string
@@ -33,24 +33,24 @@
 	return e
 }
 
-// request is the harness's own view of one request.
+// request is the benchmark's own record of one request.
 type request struct {
 	arrival
 	entry        *entry
 	assembler    stream.Assembler
 	firstTokenAt time.Time
 	lastTokenAt  time.Time
-	// ran tells that an engine was asked to work.
+	// ran reports whether an engine was asked to run it.
 	ran     bool
 	outcome string
 	tokens  int
-	// cut tells that a fault ended the caller's connection.
+	// connectionLost reports whether a fault ended the caller's connection.
 	connectionLost bool
 	disconnectedAt time.Time
 	memoryFreedAt  time.Time
 }
 
-// do carries out effects.
+// apply carries out the effects that the router returned.
 func (e *entry) apply(effects []router.Effect) {
 	for _, eff := range effects {
 		e.applyOne(eff)
@@ -82,7 +82,7 @@
 	e.apply(e.router.Failed(e.b.now, server, id, fault.Step(step), detail, true))
 }
 
-// token takes one token of a decode, as the entry's stream does.
+// token receives one token of a decode, as the entry does from its stream.
 func (e *entry) token(j *decodeJob, index int, end bool) {
 	r := j.req
 	if !e.alive || r.outcome != "" {
@@ -114,7 +114,7 @@
 	return r.lastTokenAt.Sub(r.firstTokenAt) / time.Duration(r.tokens-1)
 }
 
-// met tells whether the request has its whole answer within both targets.
+// metTargets reports whether the request has a complete answer within both targets.
 func (r *request) metTargets() bool {
 	return r.outcome == "done" && r.firstTokenAt.Sub(start.Add(r.at)) <= r.class.TTFT && r.perToken() <= r.class.TBT
 }
--- a/policybench/link.go
+++ b/policybench/link.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// transfer is one KV transfer in progress.
+// transfer is a KV transfer in progress.
 type transfer struct {
 	from, to  *server
 	owner     *entry
@@ -15,8 +15,8 @@
 	stopped   bool
 }
 
-// links shares the rate of each server's link evenly among its transfers: one
-// gets the smaller of the shares at its two ends.
+// links shares the rate of each server's link evenly among its transfers. A transfer gets the
+// smaller of the shares at its two ends.
 type links struct {
 	b          *bench
 	active     []*transfer
@@ -51,7 +51,7 @@
 	}
 }
 
-// progress moves all transfers to the present.
+// updateRemaining updates the remaining bytes of all transfers to the current time.
 func (l *links) updateRemaining() {
 	dt := l.b.now.Sub(l.updatedAt).Seconds()
 	l.updatedAt = l.b.now
@@ -60,7 +60,7 @@
 	}
 }
 
-// plan works out the rates and waits for the next end.
+// scheduleNextEnd computes the rates and schedules the end of the next transfer to complete.
 func (l *links) scheduleNextEnd() {
 	l.generation++
 	gen := l.generation
@@ -84,7 +84,7 @@
 
 func (l *links) finishTransfers() {
 	l.updateRemaining()
-	const rounding = 1 // bytes that rounding leaves
+	const rounding = 1 // bytes that may remain because of rounding
 	for _, t := range append([]*transfer(nil), l.active...) {
 		if t.remaining <= rounding {
 			l.remove(t)
--- a/policybench/mix.go
+++ b/policybench/mix.go
@@ -11,49 +11,49 @@
 	"github.com/ledgepin/ledgepin/router"
 )
 
-// Class is one kind of request of a mix.
+// Class is a kind of request in a mix.
 type Class struct {
 	Name     string
 	Priority int
-	// Share is the part of the requests that are of this class.
+	// Share is the share of the requests that belong to this class.
 	Share float64
-	// Prompt and Output bound the lengths in tokens.
+	// Prompt and Output bounds are in tokens.
 	PromptMin, PromptMax int
 	OutputMin, OutputMax int
 	TTFT, TBT            time.Duration
-	// Prefix is the length of the part of the prompt that all requests of a
-	// customer share, in tokens.
+	// Prefix is the length of the prompt prefix that all requests of a customer in this class
+	// share, in tokens.
 	Prefix int
-	// Interactive marks the classes whose callers sit and wait.
+	// Interactive marks classes whose callers wait for the answer.
 	Interactive bool
 }
 
-// Mix is a workload with the servers that it runs on.
+// Mix is a workload with the servers on which it runs.
 type Mix struct {
 	Name            string
 	Classes         []Class
 	Prefill, Decode int
-	// Rate is the mean prefill rate of a server in tokens a second.
+	// Rate is the mean prefill rate of a server in tokens per second.
 	Rate float64
 	// Slots is the number of decode slots of a server.
 	Slots     int
 	Customers int
 }
 
-// Values that both mixes share.
+// Constants of both mixes.
 const (
 	kvPerToken = 100_000 // bytes
-	linkRate   = 3e9     // bytes a second
+	linkRate   = 3e9     // bytes per second
 	kvHold     = 5 * time.Second
-	// tokenBase and tokenSlope give the time of a decode step: the base for a
-	// batch of one, and base plus slope for a full batch.
+	// minStepTime and fullBatchExtraTime define the time of a decode step: minStepTime for an
+	// empty batch, and fullBatchExtraTime more for a full one, in proportion to the batch.
 	minStepTime        = 20 * time.Millisecond
 	fullBatchExtraTime = 30 * time.Millisecond
-	cacheBlocks        = 2000 // prefix blocks of a prefill server
-	patienceTargets    = 10   // targets after which a caller that got nothing leaves
+	cacheBlocks        = 2000 // prefix blocks in the cache of a prefill server
+	patienceTargets    = 10   // multiple of the TTFT target after which a caller without a token disconnects
 )
 
-// Azienda is long log reviews beside brief checkout questions: heavy on
+// Azienda returns a mix of long log reviews and short checkout questions, which is dominated by
 // prefill.
 func Azienda() Mix {
 	return Mix{
@@ -67,8 +67,8 @@
 	}
 }
 
-// Dunaj is screenings of transactions beside explanations of receipts: heavy
-// on decode.
+// Dunaj returns a mix of transaction screenings and explanations of receipts, which is dominated
+// by decode.
 func Dunaj() Mix {
 	return Mix{
 		Name: "dunaj", Prefill: 3, Decode: 6, Rate: 12000, Slots: 32, Customers: 12,
@@ -81,25 +81,27 @@
 	}
 }
 
-// arrival is one request of the workload, the same for every policy.
+// arrival is a request of the workload, the same for every policy.
 type arrival struct {
 	at     time.Duration
 	class  *Class
 	req    router.Request
 	output int
-	// shared is the cached part that a perfect cache would have.
+	// cachedTokens is the number of prompt tokens that a perfect prefix cache would hold.
 	cachedTokens int
 }
 
-// uniform returns a length between two bounds, with more short ones than long.
+// uniform returns a random length between two bounds, more often a short one than a long one: its
+// distribution is that of the square of a uniform variable.
 func uniform(rng *rand.Rand, low, high int) int {
 	f := rng.Float64()
 	return low + int(f*f*float64(high-low))
 }
 
+// meanOf returns the mean of uniform.
 func meanOf(low, high int) float64 { return float64(low) + float64(high-low)/3 }
 
-// meanPrefill returns the mean prefill work of a request in tokens.
+// meanPrefill returns the mean prefill work of a request in tokens, without the shared prefix.
 func (m *Mix) meanPrefill() float64 {
 	var sum float64
 	for _, c := range m.Classes {
@@ -117,7 +119,7 @@
 	return sum
 }
 
-// prefillRate returns what all prefill servers do together.
+// prefillRate returns the prefill rate of all servers together, in tokens per second.
 func (m *Mix) prefillRate() float64 {
 	var sum float64
 	for i := range m.Prefill {
@@ -126,7 +128,8 @@
 	return sum
 }
 
-// decodeRate returns what all decode servers do together with full batches.
+// decodeRate returns the decode rate of all servers together with full batches, in tokens per
+// second.
 func (m *Mix) decodeRate() float64 {
 	var sum float64
 	for i := range m.Decode {
@@ -135,15 +138,15 @@
 	return sum
 }
 
-// capacity returns the requests a second that the servers can just do.
+// capacity returns the maximum number of requests per second that the servers can serve.
 func (m *Mix) capacity() float64 {
 	return math.Min(m.prefillRate()/m.meanPrefill(), m.decodeRate()/m.meanOutput())
 }
 
-// speed returns the speed of a server: no two are alike.
+// speedFactor returns the relative speed of a server. Servers differ, since real ones do.
 func speedFactor(i int) float64 { return []float64{1, 0.75, 1.25, 0.9, 1.1, 1, 0.8, 1.2, 1}[i%9] }
 
-// arrivals returns the requests of a run: a Poisson stream at a load.
+// arrivals returns the requests of a run, a Poisson process at a load in shares of capacity.
 func (m *Mix) arrivals(rng *rand.Rand, load float64, length time.Duration) []arrival {
 	rate := load * m.capacity()
 	var out []arrival
@@ -178,8 +181,8 @@
 	}
 }
 
-// prefixes returns the hashes of a prompt: those of the shared part are the
-// same for all requests of a customer and class.
+// prefixes returns the hashes of a prompt's prefixes. Those of the shared prefix are the same for
+// all requests of a customer and class.
 func prefixes(customer string, c *Class, tokens, n int) []uint64 {
 	const blockTokens = placement.BlockBytes / placement.BytesPerToken
 	var out []uint64
--- a/policybench/policy.go
+++ b/policybench/policy.go
@@ -7,7 +7,7 @@
 	"github.com/ledgepin/ledgepin/router"
 )
 
-// The policies that are compared.
+// Names of the policies that are compared.
 const (
 	Ledgepin         = "ledgepin"
 	NoReservation    = "ledgepin without reservation"
@@ -16,13 +16,13 @@
 	SmallestTotal    = "smallest total processing time"
 )
 
-// Policies lists all of them.
+// Policies returns the names of all policies.
 func Policies() []string {
 	return []string{Ledgepin, NoReservation, RoundRobin, LeastOutstanding, SmallestTotal}
 }
 
-// policyNamed returns a maker of policies, one for each entry. Wide tells that
-// the policy has no admission, so that engines queue whatever comes.
+// newPolicyByName returns a function that creates a policy for each entry. unbounded reports that
+// the policy has no admission control, so that engines queue all requests.
 func newPolicyByName(name string) (newPolicy func() router.Policy, unbounded bool) {
 	switch name {
 	case NoReservation:
@@ -41,11 +41,11 @@
 	return router.DefaultPolicy, false
 }
 
-// pick chooses one server of a list.
+// chooseServer chooses one server of a list, nil if there is none.
 type chooseServer func(list []*placement.Server, q placement.Query) *placement.Server
 
-// baseline starts each request at once, at the server that pick chooses, and
-// looks for a decode server only when the prefill is done.
+// baseline returns a policy that starts each request at once at the server that choose returns,
+// and chooses a decode server only when the prefill is complete.
 func baseline(choose chooseServer) router.Policy {
 	return router.Policy{
 		Choose: func(v *placement.View, _ time.Time, q placement.Query) placement.Choice {
@@ -96,9 +96,8 @@
 	return minBy(list, func(s *placement.Server) float64 { return float64(s.Outstanding()) })
 }
 
-// smallestTotal is the rule of SWARM parallelism (Ryabinin et al., 2023): give
-// the work to the peer that would be done first, by its queue and its measured
-// speed.
+// smallestTotal implements the rule of SWARM parallelism (Ryabinin et al., 2023): it chooses the
+// server that would complete the work first, according to its queue and its measured speed.
 func smallestTotal(list []*placement.Server, q placement.Query) *placement.Server {
 	return minBy(list, func(s *placement.Server) float64 {
 		if s.Role == "decode" {
--- a/policybench/server.go
+++ b/policybench/server.go
@@ -9,40 +9,39 @@
 	"github.com/ledgepin/ledgepin/router"
 )
 
-// Times of the fakes.
+// Constants of the fakes.
 const (
-	linkLatency    = 500 * time.Microsecond // one way between an entry and an agent
+	linkLatency    = 500 * time.Microsecond // one-way latency between an entry and an agent
 	reportInterval = 2 * time.Second
 	leaseTime      = 5 * time.Second
 	rejoinGrace    = time.Second
 	cancelInterval = 500 * time.Millisecond
-	// noticeEngine is how long an agent needs to see that its engine is gone or
+	// engineCheckInterval is the time after which an agent detects that its engine has died or is
 	// back; it reports that at once.
 	engineCheckInterval = 500 * time.Millisecond
 	cancelTime          = 5 * time.Millisecond
-	chunkTokens         = 512 // prefill work between two looks at the priorities
+	chunkTokens         = 512 // prefill tokens after which the next job is chosen by priority
 	prefillOverhead     = 2 * time.Millisecond
 )
 
-// server is a fake backend server with the agent beside it. The agent's
-// decisions are those of the real lease table.
+// server is a fake backend server with its agent. The agent uses the real lease table.
 type server struct {
 	b        *bench
 	name     string
 	role     string
 	speed    float64
 	leases   *lease.Table
-	kvLeases *lease.Table // results of prefills, under leases of their own
+	kvLeases *lease.Table // leases of the results of prefills
 
 	alive   bool // the engine
 	agentUp bool
 	leaving bool
 	stalled bool
-	// transfers counts those on its link; incoming are those to it.
+	// transfers counts all transfers on its link; incoming are those to it.
 	transfers  int
 	incoming   map[lease.ID]*transfer
 	owners     map[lease.ID]*entry
-	tokens     map[lease.ID]int // prefill work under lease
+	tokens     map[lease.ID]int // prefill work of each lease
 	priorities map[lease.ID]int
 
 	reportedSlots int // slots in use at the last report
@@ -53,7 +52,7 @@
 	lastPrefillEnd time.Time
 	kvCaches       map[lease.ID]*prefillJob
 	prefixCache    map[uint64]*list.Element // prefix blocks
-	lru            *list.List               // the same, the last used first
+	lru            *list.List               // prefix blocks, most recently used first
 
 	// decode
 	running  []*decodeJob
@@ -99,8 +98,8 @@
 	return l
 }
 
-// report sends the load to each entry and renews their leases, as heartbeats
-// on the links do.
+// report sends the load to each entry and renews the entries' leases, as heartbeats on real links
+// do.
 func (s *server) report() {
 	if !s.agentUp {
 		return
@@ -140,7 +139,7 @@
 	s.b.toEntry(e, func() { e.apply(e.router.Reserved(s.b.now, s.name, r.ID, reason == lease.None, string(reason), l)) })
 }
 
-// free gives up whatever an attempt holds here.
+// release releases what an attempt holds at the server.
 func (s *server) release(id lease.ID) {
 	if !s.agentUp {
 		return
@@ -150,7 +149,7 @@
 	s.forgetReleased(id)
 }
 
-// forget drops what is known of an attempt that has no lease any more.
+// forgetReleased drops the state of an attempt that no longer has a lease.
 func (s *server) forgetReleased(id lease.ID) {
 	if _, ok := s.leases.State(id); !ok {
 		delete(s.owners, id)
@@ -158,12 +157,12 @@
 	}
 }
 
-// effects cancels requests at the engine.
+// applyCancels cancels requests at the engine.
 func (s *server) applyCancels(t *lease.Table, list []lease.EngineCancel) {
 	for _, eff := range list {
 		s.b.after(cancelTime, func() {
 			if !s.alive || !s.agentUp {
-				return // the table repeats it
+				return // the table repeats the cancel
 			}
 			s.removeRequest(eff.ID)
 			t.Finish(eff.ID)
@@ -172,7 +171,7 @@
 	}
 }
 
-// dropWork takes a request out of the engine.
+// removeRequest removes a request from the engine.
 func (s *server) removeRequest(id lease.ID) {
 	for i, j := range s.queue {
 		if j.id == id {
@@ -195,7 +194,7 @@
 	}
 }
 
-// holds tells whether the engine has memory for a request.
+// holdsMemory reports whether the engine holds memory for a request.
 func (s *server) holdsMemory(req string) bool {
 	for _, j := range s.queue {
 		if j.id.Req == req {
@@ -220,7 +219,7 @@
 	return false
 }
 
-// fail tells an owner that the engine lost its attempt.
+// reportFailure notifies an attempt's entry that the engine lost the attempt.
 func (s *server) reportFailure(id lease.ID, step, detail string) {
 	e := s.owners[id]
 	s.applyCancels(s.leases, s.leases.Cancel(s.b.now, id))
@@ -231,7 +230,7 @@
 	s.b.toEntry(e, func() { e.failed(s.name, id, step, detail) })
 }
 
-// kill ends the engine: all that it held is gone.
+// kill ends the engine, which loses its whole state.
 func (s *server) kill() {
 	s.alive = false
 	lost := map[lease.ID]string{}
@@ -262,7 +261,7 @@
 	s.b.after(engineCheckInterval, s.report)
 }
 
-// killAgent ends the agent: its links break, and its table is lost.
+// killAgent ends the agent: its links break, and its lease table is lost.
 func (s *server) killAgent() {
 	s.agentUp = false
 	for _, e := range s.b.entries {
@@ -279,8 +278,8 @@
 	}
 }
 
-// restartAgent brings the agent back with an empty table. What the engine
-// still runs is found and cancelled.
+// restartAgent starts the agent with an empty table and cancels the requests that the engine still
+// runs.
 func (s *server) restartAgent() {
 	s.agentUp = true
 	s.leases = lease.New(s.leases.Slots(), lease.Options{TTL: leaseTime, CancelInterval: cancelInterval})
--- a/policybench/work.go
+++ b/policybench/work.go
@@ -9,7 +9,7 @@
 	"github.com/ledgepin/ledgepin/placement"
 )
 
-// prefillJob is one prefill at a fake engine.
+// prefillJob is a prefill at a fake engine.
 type prefillJob struct {
 	id        lease.ID
 	req       *request
@@ -24,7 +24,7 @@
 	useful    bool
 }
 
-// decodeJob is one decode at a fake engine.
+// decodeJob is a decode at a fake engine.
 type decodeJob struct {
 	id      lease.ID
 	req     *request
@@ -50,7 +50,7 @@
 		return
 	}
 	if !s.alive || !s.leases.Start(id) {
-		s.b.toEntry(e, func() { e.failed(s.name, id, "prefill", "no reservation, or no engine") })
+		s.b.toEntry(e, func() { e.failed(s.name, id, "prefill", "the attempt has no reservation, or the engine is dead") })
 		return
 	}
 	r.ran = true
@@ -62,8 +62,8 @@
 	s.computeNext()
 }
 
-// lookUp returns the cached tokens of a prompt and enters its prefixes; the
-// least recently used go first.
+// lookUp returns the number of cached tokens of a prompt and adds its prefixes to the cache, which
+// evicts the least recently used.
 func (s *server) lookUp(prefixes []uint64, tokens int) int {
 	const blockTokens = placement.BlockBytes / placement.BytesPerToken
 	hit := 0
@@ -84,7 +84,7 @@
 	return min(hit*blockTokens, tokens-1)
 }
 
-// work computes the next chunk of the first job by priority.
+// computeNext computes the next chunk of the first job by priority and age.
 func (s *server) computeNext() {
 	if s.computing || len(s.queue) == 0 || !s.alive {
 		return
@@ -148,7 +148,7 @@
 		return
 	}
 	if !s.alive || !s.leases.Start(id) {
-		s.b.toEntry(e, func() { e.failed(s.name, id, "transfer", "no reservation, or no engine") })
+		s.b.toEntry(e, func() { e.failed(s.name, id, "transfer", "the attempt has no reservation, or the engine is dead") })
 		return
 	}
 	src := s.b.servers[kv.Source]
@@ -166,7 +166,7 @@
 	s.b.links.start(t)
 }
 
-// findKV returns the KV cache of a request.
+// findKV returns the prefill job whose KV cache a request has here, nil if there is none.
 func (s *server) findKV(req string) *prefillJob {
 	for id, j := range s.kvCaches {
 		if id.Req == req && s.alive {
@@ -179,7 +179,7 @@
 func (s *server) finishImport(e *entry, id lease.ID, src *server, job *prefillJob, from int) {
 	state, ok := s.leases.State(id)
 	if !ok || state != lease.Running || !s.alive {
-		return // cancelled meanwhile, or the transfer hangs
+		return // cancelled meanwhile, or the engine died
 	}
 	if src.kvCaches[job.id] != job {
 		s.reportFailure(id, "transfer", "the source lost the KV cache")
@@ -195,7 +195,7 @@
 	s.decodeStep()
 }
 
-// step makes one token for each running request.
+// decodeStep generates one token for each running request.
 func (s *server) decodeStep() {
 	if s.stepping || len(s.running) == 0 || !s.alive {
 		return
@@ -225,7 +225,7 @@
 		s.forgetReleased(j.id)
 	}
 	if !s.agentUp {
-		return // lost with the link
+		return // lost with the agent's links
 	}
 	s.b.toEntry(j.owner, func() { j.owner.token(j, index, end) })
 }
