--- a/cmd/policybench/main.go
+++ b/cmd/policybench/main.go
@@ -67,12 +67,12 @@
 func run(cases []policybench.Case) []policybench.Result {
 	out := make([]policybench.Result, len(cases))
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, c := range cases {
-		gate <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
 			out[i] = policybench.Run(c)
-			<-gate
+			<-slots
 		})
 	}
 	wg.Wait()
--- a/policybench/bench.go
+++ b/policybench/bench.go
@@ -130,7 +130,7 @@
 			break
 		}
 	}
-	b.after(time.Duration(patienceTargets)*r.class.TTFT, func() {
+	b.after(time.Duration(disconnectTargets)*r.class.TTFT, func() {
 		if r.firstTokenAt.IsZero() {
 			b.disconnectCaller(r)
 		}
--- a/policybench/mix.go
+++ b/policybench/mix.go
@@ -50,7 +50,7 @@
 	minStepTime        = 20 * time.Millisecond
 	fullBatchExtraTime = 30 * time.Millisecond
 	cacheBlocks        = 2000 // prefix blocks in the cache of a prefill server
-	patienceTargets    = 10   // multiple of the TTFT target after which a caller without a token disconnects
+	disconnectTargets  = 10   // multiple of the TTFT target after which a caller without a token disconnects
 )
 
 // Azienda returns a mix of long log reviews and short checkout questions, which is dominated by
