--- a/replay/callers.go
+++ b/replay/callers.go
@@ -115,11 +115,11 @@
 		s.refuse(r)
 		return
 	}
-	view := r.gateway.fleet
-	r.pair = dispatch.Pair{Prefill: view.Get(s.prefill[p].id), Decode: view.Get(s.decode[d].id)}
+	fleet := r.gateway.fleet
+	r.pair = dispatch.Pair{Prefill: fleet.Get(s.prefill[p].id), Decode: fleet.Get(s.decode[d].id)}
 	r.placedAt, r.reserved = s.now, r.work
-	view.Reserve(r.pair.Decode.ID, r.reserved)
-	view.StartPrefill(r.pair.PrefillServer().ID, r.reserved)
+	fleet.Reserve(r.pair.Decode.ID, r.reserved)
+	fleet.StartPrefill(r.pair.PrefillServer().ID, r.reserved)
 	s.prefill[p].addPrompt(r)
 }
 
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -13,8 +13,8 @@
 
 // engine is a simulated model engine.
 type engine struct {
-	id string
-	p  *Pattern
+	id      string
+	pattern *Pattern
 	// prompts are the queued prompts. The first is being computed, with remaining tokens.
 	prompts   []*request
 	remaining float64
@@ -37,7 +37,7 @@
 
 // reserve reserves memory for a prompt and reports whether a slot and enough memory were free.
 func (e *engine) reserve(r *request) bool {
-	if len(e.runs)+len(e.reserved) >= e.p.Slots || e.memory()+float64(r.work.Prompt) > float64(e.p.KVTokens) {
+	if len(e.runs)+len(e.reserved) >= e.pattern.Slots || e.memory()+float64(r.work.Prompt) > float64(e.pattern.KVTokens) {
 		return false
 	}
 	e.reserved[r] = float64(r.work.Prompt)
@@ -55,7 +55,7 @@
 // stepPrefills computes prompts for a time and returns the completed ones.
 func (e *engine) stepPrefills(d time.Duration) []*request {
 	var done []*request
-	tokens := e.p.ReadRate * milliseconds(d)
+	tokens := e.pattern.ReadRate * milliseconds(d)
 	for len(e.prompts) > 0 && tokens > 0 {
 		read := min(tokens, e.remaining)
 		e.remaining -= read
@@ -81,7 +81,7 @@
 // stepRuns generates tokens for a time. It returns the runs that ended, and the runs that were
 // preempted because the memory was full, the newest first.
 func (e *engine) stepRuns(d time.Duration) (ended, preempted []*run) {
-	pace := milliseconds(d) / (e.p.Step + e.p.StepPerRun*float64(len(e.runs)))
+	pace := milliseconds(d) / (e.pattern.Step + e.pattern.StepPerRun*float64(len(e.runs)))
 	var kept []*run
 	for _, r := range e.runs {
 		r.generated += pace
@@ -93,7 +93,7 @@
 		}
 	}
 	e.runs = kept
-	for len(e.runs) > 1 && e.memory() > float64(e.p.KVTokens) {
+	for len(e.runs) > 1 && e.memory() > float64(e.pattern.KVTokens) {
 		last := e.runs[len(e.runs)-1]
 		e.runs = e.runs[:len(e.runs)-1]
 		preempted = append(preempted, last)
--- a/replay/simulation.go
+++ b/replay/play.go
@@ -132,7 +132,7 @@
 	add := func(role string, n int) []*engine {
 		var out []*engine
 		for i := range n {
-			e := &engine{id: fmt.Sprintf("%s-%d", role, i), p: s.pattern, reserved: map[*request]float64{}}
+			e := &engine{id: fmt.Sprintf("%s-%d", role, i), pattern: s.pattern, reserved: map[*request]float64{}}
 			s.engines[e.id] = e
 			s.reports = append(s.reports, registry.Server{
 				ID: e.id, Service: service, Address: e.id, Zone: "z", Slots: s.pattern.Slots, State: registry.Ready, Role: role, Sequence: 1,
