--- a/standin/stream.go
+++ b/standin/stream.go
@@ -128,7 +128,7 @@
 
 // streamWriter is the answer to a streaming request.
 type streamWriter interface {
-	// write returns false if the connection is closed. The channel of closed is closed then.
+	// write returns false if the connection is closed. closed returns a channel that is closed then.
 	write(p []byte) bool
 	closed() <-chan struct{}
 	// end ends the stream as complete, or interrupts it.
