--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -14,9 +14,9 @@
 )
 
 type command struct {
-	Patterns []string `arg:"" type:"existingfile" help:"Files of load patterns, such as replay/testdata/*.yaml."`
-	Seed     uint64   `default:"1" help:"The first seed. Each seed generates another load of the same kind."`
-	Plays    int      `default:"3" help:"Number of seeds to simulate."`
+	Patterns []string `arg:"" type:"existingfile" help:"Files of load patterns, as replay/testdata/*.yaml."`
+	Seed     uint64   `default:"1" help:"The first seed; another one is another load of the same kind."`
+	Plays    int      `default:"3" help:"How many seeds are played."`
 }
 
 func main() {
