--- a/dispatch/distance.go
+++ b/dispatch/distance.go
@@ -31,11 +31,11 @@
 // Constants of distance.
 const (
 	// crossZoneCost is the cost in milliseconds of a KV cache transfer to another zone, and
-	// of a stream from one: links between zones are slower and their bytes expensive. The
-	// cost of streams saves a fifth of all bytes between zones.
+	// of a stream from one: links between zones are slower and their bytes expensive. Streams
+	// are a large share of these bytes.
 	crossZoneCost = 60.0
-	// crossRegionFactor is how many times as long a KV cache transfer takes to another region
-	// as to another zone, by the link rates that engines report.
+	// crossRegionFactor is the ratio of the time of a KV cache transfer to another region to
+	// that of one to another zone, by the link rates that engines report.
 	crossRegionFactor = 5.0
 	// prefillTrips and decodeTrips are the round trips of a prefill and of a run before the
 	// first event, including a new connection. A run has one more, which reserves capacity.
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -44,8 +44,8 @@
 	// unknownLoadShare is the share of the average load that a gateway whose loads are not
 	// known is assumed to have reserved.
 	unknownLoadShare = 0.7
-	// fullEngineCost is the cost of a full engine in milliseconds: tokens come slower as more
-	// requests run.
+	// fullEngineCost is the cost of a full engine in milliseconds: each run generates its
+	// tokens more slowly if others run too.
 	fullEngineCost = 250.0
 )
 
@@ -140,10 +140,9 @@
 }
 
 // overShareMax is the share of an engine's capacity that an organisation over its share may
-// fill, so that the others find capacity. Order in the queues can't achieve that, since the
-// queues of many gateways are too short. In a burst with one of sixteen organisations at
-// eight times its usual rate, this bound raised the share of requests served in time from
-// 0.80 to 0.88 for the others, and from 0.769 to 0.795 for all.
+// fill, so that the others find capacity during its burst. More requests are then served in
+// time, those of the others and in total. The order of the queues can't achieve that, since
+// the queues of many gateways are too short.
 const overShareMax = 0.8
 
 // maxShare returns the share of an engine's capacity that a request may fill.
@@ -163,8 +162,8 @@
 	}
 }
 
-// growDivisor is the divisor of a run's expected length that gives the further tokens to
-// expect once the run has reached that length.
+// growDivisor: a run that has reached its expected length is expected to generate a further
+// 1/growDivisor of that length.
 const growDivisor = 4
 
 // Grow updates the reservation of a run that has generated the given number of tokens, and
--- a/dispatch/evidence.go
+++ b/dispatch/evidence.go
@@ -12,9 +12,9 @@
 // gateway sends a server one request in some seconds, so if each had to detect the failures
 // by itself, hundreds of requests would be lost at one server, which looks empty meanwhile
 // since it fails them at once. So gateways exchange, with their reservations, how many of
-// their recent requests to a server succeeded and failed. A server is ejected by the share of
-// failures that the sums prove: one that fails all requests after some failures in the whole
-// fleet, one that fails one in twenty never.
+// their recent requests to a server succeeded and failed. A server is ejected if the sums
+// prove a high share of failures. One that fails all requests is ejected after a few failures
+// in the whole fleet, one that fails one in twenty never is.
 
 // Evidence counts the outcomes of recent requests to a server. A gateway's dump writes its
 // fields under their Go names.
@@ -107,7 +107,7 @@
 	return (share + zScore*zScore/(2*n) - margin) / (1 + zScore*zScore/n)
 }
 
-// ejection is the time for which the gateways leave a server without requests.
+// ejection is the time for which the gateways send a server no requests.
 type ejection struct {
 	// until is when the first gateways may try the server again; zero if it was not ejected.
 	until time.Time
--- a/dispatch/evidence_test.go
+++ b/dispatch/evidence_test.go
@@ -173,7 +173,7 @@
 }
 
 // TestFailuresAtOneGatewayBlockOnlyThere covers a server that fails for one gateway only, for
-// instance because of the connection between them: the other gateways go on using it.
+// instance because of the connection between them: the other gateways continue to use it.
 func TestFailuresAtOneGatewayBlockOnlyThere(t *testing.T) {
 	sim := newGatewaySim(20, 4)
 	for range 10 {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -61,9 +61,10 @@
 	// reports itself: its reports may be the ones that are lost in a partition.
 	unreportedBlock = 3 * time.Second
 	// otherZoneFactor is the factor on the score of a plain server in another zone: it is
-	// chosen once the servers of the gateway's zone have half as much again to do.
+	// chosen once the servers of the gateway's own zone have 1.5 times as much to do.
 	otherZoneFactor = 1.5
-	// minLatency makes fast and very fast servers equal.
+	// minLatency is the smallest latency in seconds that a score counts, so that fast and
+	// very fast servers are equal.
 	minLatency = 0.02
 )
 
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	// limitResendInterval is the interval at which control is notified while a server goes on
-	// reporting its limit.
+	// limitResendInterval is the interval at which control is notified while a server
+	// continues to report its limit.
 	limitResendInterval = 400 * time.Millisecond
 	// limitRefreshInterval is the time after which control is notified of a limit again
 	// without a new answer: a replica that has restarted behind the same link would otherwise
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -7,7 +7,7 @@
 	"github.com/ledgepin/ledgepin/route"
 )
 
-// An engine that runs out of memory drops a run's KV cache and prefills it again later, in
+// An engine that runs out of memory drops a run's KV cache and computes it again later, in
 // the middle of the run's stream. Reservations can't prevent that: they depend on what
 // callers guess about the length of their answers, and an engine has too few runs for the
 // errors to cancel out. So while an engine is about to run out of memory, runs migrate with
--- a/dispatch/prefixcache.go
+++ b/dispatch/prefixcache.go
@@ -18,8 +18,7 @@
 	// quarter as large.
 	negligiblePrefill = 256
 	// reprefillWeight is the additional weight of the prefill time if some engine has the
-	// prompt cached: a repeated prefill takes an engine's time from others. With 1, more was
-	// prefilled again.
+	// prompt cached: a repeated prefill also takes an engine's time from other requests.
 	reprefillWeight = 3.0
 )
 
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -10,7 +10,8 @@
 
 // TestQueueServesByPriority checks that the most urgent request is placed first, and equal
 // ones in the order of arrival. No request is passed over for lack of capacity: otherwise a
-// large prompt would wait for ever, and an urgent kind would be served less than others.
+// large prompt would wait for ever, and urgent requests with large prompts would be served
+// less often than others.
 func TestQueueServesByPriority(t *testing.T) {
 	f := fleet(1, 1)
 	var q dispatch.Queue
--- a/dispatch/queuetimeout.go
+++ b/dispatch/queuetimeout.go
@@ -8,11 +8,11 @@
 
 // In a burst more requests arrive than find capacity, and capacity becomes free as runs end:
 // some hundred times a second in a large fleet, a few times in a small one. A waiting request
-// is served in time if it is placed before its target, less the time from placement to the
-// first event. One that can't expect that is refused at once, since it would only delay
-// others. As long as more requests arrive than there is capacity for, waiting doesn't raise
-// the number of requests that are served: it only decides which ones are, and the newest ones
-// are served soonest.
+// is served in time if it is placed early enough to get its first event within its target. A
+// request that can't expect that is refused at once, since it would only delay others. As
+// long as more requests arrive than there is capacity for, waiting doesn't raise the number
+// of requests that are served: it only decides which ones are, and the newest ones are served
+// soonest.
 
 // RunTimes holds the durations of recent requests to a service.
 type RunTimes struct {
@@ -51,11 +51,10 @@
 	}
 }
 
-// contendedTimeout is the queue timeout while other requests wait too: some draws for free
-// slots (see winsDraw). That is enough for free capacity to be used at once; a request that
-// waits longer takes it from a new one that has all of its time left. Waiting for as long as
-// the target allows lowered the value of the served requests by 0.007 to 0.016 at three
-// sites.
+// contendedTimeout is the queue timeout while other requests wait too: a few draws for free
+// slots (see winsDraw), enough for free capacity to be used at once. A request that waited
+// for as long as its target allows would take that capacity from a new one, which has all of
+// its time left.
 const contendedTimeout = 5 * slotDrawInterval / 2
 
 // QueueTimeout returns how long a request waits for capacity at most: as long as it can still
--- a/dispatch/retryafter.go
+++ b/dispatch/retryafter.go
@@ -7,8 +7,7 @@
 	// minRetryRuns and maxRetryRuns bound the time, in mean durations of a run, over which
 	// callers are spread: by then all runs that fill the engines have ended. A caller that
 	// retries is late however long it waited, and a sooner retry takes capacity from a caller
-	// that can still be served in time: 0.9 to 1.4 lowered the value of the served requests
-	// by 0.02 under bursts of four seconds and runs of three.
+	// that can still be served in time.
 	minRetryRuns = 1.2
 	maxRetryRuns = 1.6
 	// initialRunTime is the mean duration of a run until runs have shown it.
