--- a/control/cold.go
+++ b/control/cold.go
@@ -37,9 +37,9 @@
 	return unconfirmed || reportedAt.Add(s.Cold).After(now)
 }
 
-// lendColdServers leases this replica's share of each cold server to the gateways that
+// leaseColdServers leases this replica's share of each cold server to the gateways that
 // report their load here. Callers hold h.mu.
-func (h *hub) lendColdServers(now time.Time) {
+func (h *hub) leaseColdServers(now time.Time) {
 	if now.Sub(h.coldCheckedAt) < coldCheckEvery {
 		return
 	}
--- a/control/hub.go
+++ b/control/hub.go
@@ -304,7 +304,7 @@
 	h.sendLoadsToPeers()
 	h.sendUsageToPeers(now)
 	h.sendContents(now)
-	h.lendColdServers(now)
+	h.leaseColdServers(now)
 	h.tickLimits(now)
 	if now.Sub(h.loadsAt) >= loadsEvery {
 		h.loadsAt = now
--- a/control/links.go
+++ b/control/links.go
@@ -186,7 +186,7 @@
 	case m.Ordered != nil:
 		c.handleOrderResult(m.Ordered)
 	case m.Shares != nil:
-		c.lendQuota(now, l, m.Shares)
+		c.leaseQuota(now, l, m.Shares)
 	}
 }
 
--- a/control/zones.go
+++ b/control/zones.go
@@ -45,10 +45,10 @@
 	return out
 }
 
-// lendQuota answers a relay or an entry that asks for units of customers' limits. Every
+// leaseQuota answers a relay or an entry that asks for units of customers' limits. Every
 // replica lends: a relay that moves to another replica asks again, and a loan that is
 // counted twice expires. Callers hold c.mu.
-func (c *Control) lendQuota(now time.Time, l *wire.Link, m *wire.Shares) {
+func (c *Control) leaseQuota(now time.Time, l *wire.Link, m *wire.Shares) {
 	tree := c.store.Tree()
 	if tree == nil {
 		return
--- a/router/tick.go
+++ b/router/tick.go
@@ -196,35 +196,35 @@
 // rateWindow is the time over which the rate is measured.
 const rateWindow = time.Second
 
-func (d *serviceRate) add(tokens int) { d.tokens += float64(tokens) }
+func (r *serviceRate) add(tokens int) { r.tokens += float64(tokens) }
 
 // update updates the mean at the end of a window, or resets it if no request
 // waits.
-func (d *serviceRate) update(now time.Time, waiting bool) {
+func (r *serviceRate) update(now time.Time, waiting bool) {
 	if !waiting {
-		*d = serviceRate{windowStart: now}
+		*r = serviceRate{windowStart: now}
 		return
 	}
-	elapsed := now.Sub(d.windowStart)
+	elapsed := now.Sub(r.windowStart)
 	if elapsed < rateWindow {
 		return
 	}
-	rate := d.tokens / elapsed.Seconds()
-	if d.mean == 0 {
-		d.mean = rate
+	rate := r.tokens / elapsed.Seconds()
+	if r.mean == 0 {
+		r.mean = rate
 	}
-	d.mean = (d.mean + rate) / 2
-	d.tokens, d.windowStart = 0, now
+	r.mean = (r.mean + rate) / 2
+	r.tokens, r.windowStart = 0, now
 }
 
 func (c *Core) serviceRateOf(model string, priority int) *serviceRate {
 	k := rateKey{model, priority}
-	d := c.serviceRates[k]
-	if d == nil {
-		d = &serviceRate{}
-		c.serviceRates[k] = d
+	r := c.serviceRates[k]
+	if r == nil {
+		r = &serviceRate{}
+		c.serviceRates[k] = r
 	}
-	return d
+	return r
 }
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
