--- a/quota/broker.go
+++ b/quota/broker.go
@@ -31,9 +31,9 @@
 	expiresAt   time.Time
 }
 
-// freeFraction is the divisor of the free units that a holder gets even if it asks for less, so
+// freeDivisor is the divisor of the free units that a holder gets even if it asks for less, so
 // that a burst needn't wait while there are plenty.
-const freeFraction = 8
+const freeDivisor = 8
 
 // Broker leases units to holders.
 type Broker struct {
@@ -60,7 +60,7 @@
 			free -= l.units
 		}
 	}
-	units := min(max(a.Want, free/freeFraction), max(free, 0))
+	units := min(max(a.Want, free/freeDivisor), max(free, 0))
 	if a.Want <= 0 {
 		units = 0
 	}
@@ -111,9 +111,9 @@
 // first requests don't wait for a grant.
 const MinUnits = 4
 
-// initialFraction is the divisor of a customer's fleet-wide limit that gives what an entry allows
+// initialDivisor is the divisor of a customer's fleet-wide limit that gives what an entry allows
 // before its first ask is answered.
-const initialFraction = 4
+const initialDivisor = 4
 
 // Holder holds the units that one entry may use of each customer.
 type Holder struct {
@@ -129,7 +129,7 @@
 func (h *Holder) Limit(customer string, fleetLimit int) int {
 	units, known := h.units[customer]
 	if !known {
-		units = fleetLimit / initialFraction
+		units = fleetLimit / initialDivisor
 	}
 	return max(units, min(MinUnits, fleetLimit))
 }
--- a/quota/report.go
+++ b/quota/report.go
@@ -18,10 +18,10 @@
 
 // Rules for reports of use.
 const (
-	// reportFraction is the divisor of one gateway's share of the remaining capacity above which
+	// reportDivisor is the divisor of one gateway's share of the remaining capacity above which
 	// use is reported at once. All gateways together leave at most the same fraction of the
 	// remaining capacity unreported.
-	reportFraction = 32
+	reportDivisor = 32
 	// maxReportDelay is how long smaller use may stay unreported.
 	maxReportDelay = 400 * time.Millisecond
 )
@@ -38,7 +38,7 @@
 	}
 	l.advance(now, a)
 	remaining := l.bounds.capacity(a.limit)*a.share - a.used
-	return math.Abs(unreported)*reportFraction >= remaining*l.share.Disconnected
+	return math.Abs(unreported)*reportDivisor >= remaining*l.share.Disconnected
 }
 
 // TakeUnreported returns the use of this gateway to report now, by organisation, and marks it as
