--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -162,7 +162,7 @@
 }
 
 // TestCancelledEvacuationHasNoEffect checks that an order has no effect if its caller has
-// given it up, since the caller may have sent the opposite order to another replica.
+// cancelled it, since the caller may have sent the opposite order to another replica.
 func TestCancelledEvacuationHasNoEffect(t *testing.T) {
 	c := newEvacuationCluster(t)
 	c.evacuate("z", false)
--- a/control/hub.go
+++ b/control/hub.go
@@ -108,7 +108,7 @@
 	// reported themselves since.
 	hasColdLimits bool
 	unconfirmed   map[string]bool
-	// limits holds the servers that announce a limit of requests per second.
+	// limits holds the servers that report a limit of requests per second.
 	limits limits
 	// parseTable parses the document that a table was made from; nil to use the table of
 	// the log.
--- a/control/hub_test.go
+++ b/control/hub_test.go
@@ -44,7 +44,7 @@
 	reports map[string]int
 	// leases counts the messages with each lease of a cold server.
 	leases map[string]int
-	// limits are the limits that servers announce, tokens the number of tokens of each
+	// limits are the limits that servers report, tokens the number of tokens of each
 	// server, and limitBytes the size of the messages with both.
 	limits     map[string]wire.LimitObservation
 	tokens     map[string]int
--- a/control/limits.go
+++ b/control/limits.go
@@ -14,16 +14,16 @@
 	// limitsEvery is the interval at which due tokens are issued.
 	limitsEvery = 50 * time.Millisecond
 	// limitRepeatEvery is the interval at which the other replicas are notified that a
-	// server still announces its limit, so that a response to a request sent earlier does
+	// server still reports its limit, so that an answer to a request sent earlier does
 	// not end the limit.
 	limitRepeatEvery = 400 * time.Millisecond
 	// limitRetention is how long the end of a limit is remembered, so that a delayed
-	// response does not start the limit again. It is also how long the limit of a server is
+	// answer does not start the limit again. It is also how long the limit of a server is
 	// kept that is no longer listed.
 	limitRetention = 10 * time.Second
 )
 
-// limits is the state of the servers that announce a limit of requests per second.
+// limits is the state of the servers that report a limit of requests per second.
 type limits struct {
 	broker   *ratelimit.Broker
 	servers  map[string]*serverLimit
@@ -36,7 +36,7 @@
 type serverLimit struct {
 	ratelimit.Limit
 	// forwardedAt is when the other replicas were last notified, and forwardedAnswer the
-	// time of the newest response that they were notified of.
+	// time of the newest answer that they were notified of.
 	forwardedAt, forwardedAnswer time.Time
 	// listedAt is when the server was last listed.
 	listedAt time.Time
@@ -95,8 +95,8 @@
 	}
 }
 
-// recordObservation records what a server announced in a response, and forwards it if it
-// changes what the server accepts. Callers hold h.mu.
+// recordObservation records what a server reported about its limit in an answer, and
+// forwards it if it changes what the server accepts. Callers hold h.mu.
 func (h *hub) recordObservation(now time.Time, w wire.LimitObservation) {
 	k := h.limits.servers[w.Server]
 	if k == nil {
@@ -162,8 +162,8 @@
 	h.limits.broker.SetLimit(now, id, s.Service, rate)
 }
 
-// isLimited reports whether a server announces a limit. Such a server gets no role orders,
-// and other servers have to do its work. Callers hold h.mu.
+// isLimited reports whether a server has a limit. Such a server gets no role orders, and
+// other servers have to do its work. Callers hold h.mu.
 func (h *hub) isLimited(now time.Time, id string) bool {
 	k := h.limits.servers[id]
 	if k == nil {
@@ -173,7 +173,7 @@
 	return limited
 }
 
-// tickLimits does the periodic work for servers that announce a limit; nothing if there are
+// tickLimits does the periodic work for servers that report a limit; nothing if there are
 // none. Callers hold h.mu.
 func (h *hub) tickLimits(now time.Time) {
 	if now.Sub(h.limits.tickedAt) < limitsEvery {
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// sendLimits makes a gateway report that servers announce a limit.
+// sendLimits makes a gateway report the limits of servers.
 func (g *testGateway) sendLimits(t *testing.T, rate float64, servers ...string) {
 	t.Helper()
 	m := &wire.Limits{}
@@ -103,7 +103,7 @@
 }
 
 // TestLimitTrafficIsBounded simulates the gateways of one of ten replicas with 608 gateways
-// in total, with fifty servers that announce limits and requests at every gateway. The
+// in total, with fifty servers that report limits and requests at every gateway. The
 // messages about limits must stay a small part of the 10 KB per second that control may
 // cost a node.
 func TestLimitTrafficIsBounded(t *testing.T) {
@@ -145,7 +145,7 @@
 }
 
 // TestNoLimitTrafficWithoutLimits checks that no message about limits is sent while no
-// server announces one.
+// server reports one.
 func TestNoLimitTrafficWithoutLimits(t *testing.T) {
 	h, list := newLimitHub(t, 3, 6)
 	for range 20 {
--- a/control/roles.go
+++ b/control/roles.go
@@ -116,7 +116,7 @@
 }
 
 // errNoAnswer means that an order was sent and may be carried out.
-var errNoAnswer = errors.New("control: no response to a role order")
+var errNoAnswer = errors.New("control: no answer to a role order")
 
 // errRestarted means that an engine has restarted since the plan was made.
 var errRestarted = errors.New("control: the engine has restarted since the plan was made")
--- a/control/selfreport.go
+++ b/control/selfreport.go
@@ -12,7 +12,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// handleLeaving handles servers that have announced in responses to a gateway that they are
+// handleLeaving handles servers that have reported in answers to a gateway that they are
 // leaving. They are treated like servers whose heartbeats report it.
 func (h *hub) handleLeaving(list []registry.Server) {
 	for _, s := range list {
@@ -76,7 +76,7 @@
 }
 
 // newEnginePool returns the pool of connections for reports and role orders. What engines
-// announce in their responses applies to this replica too.
+// report in their answers applies to this replica too.
 func (c *Control) newEnginePool() *backend.Pool {
 	pool := backend.NewPool()
 	paused := &pausedEngines{pauses: map[string]*selfreport.Pause{}}
--- a/control/upgrade.go
+++ b/control/upgrade.go
@@ -21,13 +21,13 @@
 	Version int `json:"version"`
 	Next    int `json:"next,omitempty"`
 	// Since is the time from which on all members have been able to read the next version;
-	// nil while one can't.
+	// nil while some member can't.
 	Since *time.Time `json:"since,omitempty"`
-	// SettleTime is how long they must have been able to; zero if only an operator raises the
-	// version.
+	// SettleTime is how long they must have been able to before the version rises
+	// automatically; zero if only an operator raises it.
 	SettleTime time.Duration `json:"after"`
-	// Blockers are the reasons that block a rise of the version, Waits the additional ones
-	// that block an automatic rise.
+	// Blockers are the reasons that block a rise of the version, AutomaticBlockers the
+	// additional ones that block an automatic rise.
 	Blockers          []compat.Blocker `json:"holds"`
 	AutomaticBlockers []compat.Blocker `json:"waits,omitempty"`
 	Members           []UpgradeMember  `json:"members"`
@@ -119,8 +119,8 @@
 	return out
 }
 
-// raiseVersionIfReady proposes the next version once nothing holds it back. Callers hold
-// c.mu.
+// raiseVersionIfReady proposes the next version once nothing blocks an automatic rise.
+// Callers hold c.mu.
 func (c *Control) raiseVersionIfReady(now time.Time) {
 	c.forgetHellos(now)
 	if !c.node.IsLeader(now) {
@@ -147,9 +147,9 @@
 	return id, nil
 }
 
-// RaiseVersion raises the fleet's version by one, unless something holds it back; Holds has
-// the reasons then. An error of code change_outcome_unknown means that the version may
-// still rise.
+// RaiseVersion raises the fleet's version by one, unless it is blocked; Blockers of the
+// returned status holds the reasons then. An error of code change_outcome_unknown means
+// that the version may still rise.
 func (c *Control) RaiseVersion(ctx context.Context, who string) (UpgradeStatus, error) {
 	u, w, err := c.proposeNextVersion()
 	if err != nil || w == nil {
@@ -172,8 +172,8 @@
 	return u, fault.New(fault.ChangeOutcomeUnknown, fault.StepSettings, c.id, "not confirmed in time; check the upgrade status")
 }
 
-// proposeNextVersion proposes the next version. The channel is nil if something holds it
-// back.
+// proposeNextVersion proposes the next version. The channel is nil if the rise is blocked;
+// the status holds the reasons then.
 func (c *Control) proposeNextVersion() (UpgradeStatus, chan fleet.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/usage.go
+++ b/control/usage.go
@@ -13,7 +13,7 @@
 	gatewayUsageTTL = time.Second
 	// peerUsageTTL applies to another replica and its gateways: several times the interval
 	// at which replicas report to each other. Until it expires in a partition, the gateways
-	// of both sides use the whole of each limit.
+	// of both sides may each use the whole limit.
 	peerUsageTTL = 300 * time.Millisecond
 )
 
--- a/control/zones.go
+++ b/control/zones.go
@@ -46,8 +46,8 @@
 }
 
 // leaseQuota answers a relay or an entry that asks for units of customers' limits. Every
-// replica lends: a relay that moves to another replica asks again, and a loan that is
-// counted twice expires. Callers hold c.mu.
+// replica leases units: a relay that moves to another replica asks again, and a lease that
+// is counted twice expires. Callers hold c.mu.
 func (c *Control) leaseQuota(now time.Time, l *wire.Link, m *wire.Shares) {
 	tree := c.store.Tree()
 	if tree == nil {
