--- a/quota/bounds_test.go
+++ b/quota/bounds_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestUsageAfterRestartOfAll guards against use beyond the bounds when all processes restart and
+// TestUsageAfterRestartOfAll guards against usage beyond the bounds when all processes restart and
 // all counts are lost, as often as the reserve provides for.
 func TestUsageAfterRestartOfAll(t *testing.T) {
 	for seed := range uint64(6) {
@@ -63,9 +63,9 @@
 	return float64(s.refused[name]) / float64(max(s.asked[name], 1))
 }
 
-// TestFaultsRefuseFewRequests guards against faults that refuse much of the usual use. Gateways
-// without updates have only their own shares for some tenths of a second; these are smaller than
-// one request of a small organisation, which therefore loses more.
+// TestFaultsRefuseFewRequests guards against faults during which many requests within the limit are
+// refused. Gateways without updates have only their own shares for some tenths of a second; these
+// are smaller than one request of a small organisation, which therefore loses more.
 func TestFaultsRefuseFewRequests(t *testing.T) {
 	maxRefused := map[string]float64{"large": 0.1, "small": 0.2}
 	for _, name := range []string{"gateways lose power", "gateways freeze", "a replica loses power", "a replica freezes", "replicas are partitioned"} {
--- a/quota/broker.go
+++ b/quota/broker.go
@@ -31,7 +31,7 @@
 	expiresAt   time.Time
 }
 
-// freeDivisor is the divisor of the free units that a holder gets even if it asks for less, so
+// freeDivisor: a holder gets at least 1/freeDivisor of the free units, even if it asks for less, so
 // that a burst needn't wait while there are plenty.
 const freeDivisor = 8
 
@@ -111,8 +111,8 @@
 // first requests don't wait for a grant.
 const MinUnits = 4
 
-// initialDivisor is the divisor of a customer's fleet-wide limit that gives what an entry allows
-// before its first ask is answered.
+// initialDivisor: until its first ask is answered, an entry allows 1/initialDivisor of a customer's
+// fleet-wide limit.
 const initialDivisor = 4
 
 // Holder holds the units that one entry may use of each customer.
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Ledger tracks the use of limits at a replica of control. The gateways connected to the replica
+// Ledger tracks the usage of limits at a replica of control. The gateways connected to the replica
 // report to it what organisations have used. It adds that up, sends the sums of its own gateways to
 // the other replicas, and sends to each gateway what all others have used. Only changes are sent,
-// so that no use is forgotten when a gateway or a replica ends. The volume of updates grows with
+// so that no usage is forgotten when a gateway or a replica ends. The volume of updates grows with
 // the number of organisations and of replicas, and nowhere with the square of the number of
 // gateways.
 type Ledger[K comparable] struct {
@@ -25,7 +25,7 @@
 	// peakGateways is the largest number of gateways that was seen recently, at peakAt.
 	peakGateways int
 	peakAt       time.Time
-	// connected is the number of gateways that receive each other's use, as computed last, at
+	// connected is the number of gateways that receive each other's usage, as computed last, at
 	// updatedAt; it doesn't decrease before holdUntil.
 	connected            int
 	updatedAt, holdUntil time.Time
@@ -37,24 +37,24 @@
 	peersUpdatedAt time.Time
 }
 
-// UsageUpdate is an update on the use of limits, sent between processes.
+// UsageUpdate is an update on the usage of limits, sent between processes.
 type UsageUpdate struct {
 	// Used is what was used since the last update, by organisation; a negative value is a refund.
-	// If Whole is set, it is all use that hasn't leaked away.
+	// If Whole is set, it is all usage that hasn't leaked away.
 	Used  map[string]int `cbor:"1,keyasint,omitempty"`
 	Whole bool           `cbor:"2,keyasint,omitempty"`
 	// Own is all that was used at the gateways of a replica during its incarnation, which Start
-	// identifies. Replicas send it to each other when a link opens, so that use during a partition
+	// identifies. Replicas send it to each other when a link opens, so that usage during a partition
 	// is counted.
 	Own   map[string]int `cbor:"5,keyasint,omitempty"`
 	Start int64          `cbor:"6,keyasint,omitempty"`
-	// Together is the share of the limits for all gateways that receive each other's use, Alone
+	// Together is the share of the limits for all gateways that receive each other's usage, Alone
 	// that of one gateway which receives no updates. Replicas send both to gateways.
 	Together float64 `cbor:"3,keyasint,omitempty"`
 	Alone    float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// usageTotals holds use by organisation, how much of it was reported, and when.
+// usageTotals holds usage by organisation, how much of it was reported, and when.
 type usageTotals struct {
 	used, reported map[string]int
 	reportedAt     map[string]time.Time
@@ -64,7 +64,7 @@
 	return usageTotals{used: map[string]int{}, reported: map[string]int{}, reportedAt: map[string]time.Time{}}
 }
 
-// takeDue returns the use to report now, by organisation, and marks it as reported.
+// takeDue returns the usage to report now, by organisation, and marks it as reported.
 func (u *usageTotals) takeDue(now time.Time, l *Limiter) map[string]int {
 	var out map[string]int
 	for name, used := range u.used {
@@ -83,7 +83,7 @@
 
 // gateway is the ledger's state of one gateway.
 type gateway struct {
-	// used is what the gateway has reported, sent the use of the others that was sent to it.
+	// used is what the gateway has reported, sent the usage of the others that was sent to it.
 	used, sent map[string]int
 	// unsynced is set until the first update is sent; connectedShare and disconnectedShare are the
 	// shares sent last, at updatedAt.
@@ -92,7 +92,7 @@
 	updatedAt                         time.Time
 }
 
-// NewLedger returns a ledger without any use.
+// NewLedger returns a ledger without any usage.
 func NewLedger[K comparable](now time.Time, b Bounds) *Ledger[K] {
 	out := &Ledger[K]{limiter: NewLimiter(b), total: newUsageTotals(), local: newUsageTotals(), gateways: map[K]*gateway{}, incarnation: now.UnixNano(), peers: map[int64]*peer{}}
 	out.limiter.SetShare(now, Share{Connected: 1, Disconnected: 1})
@@ -130,10 +130,10 @@
 	l.gateways[k] = &gateway{used: map[string]int{}, sent: map[string]int{}, unsynced: true}
 }
 
-// RemoveGateway removes a gateway that has disconnected. Its use stays counted.
+// RemoveGateway removes a gateway that has disconnected. Its usage stays counted.
 func (l *Ledger[K]) RemoveGateway(k K) { delete(l.gateways, k) }
 
-// AddUsage counts the use that a connected gateway reports.
+// AddUsage counts the usage that a connected gateway reports.
 func (l *Ledger[K]) AddUsage(now time.Time, k K, used map[string]int) {
 	for name, size := range used {
 		l.local.used[name] += size
@@ -155,10 +155,10 @@
 const peakTTL = 60 * time.Second
 
 // UpdateShares computes the shares from the number of connected gateways, which receive each
-// other's use, and the number of gateways seen by any replica. A replica that is partitioned from
+// other's usage, and the number of gateways seen by any replica. A replica that is partitioned from
 // most of the others doesn't forget the gateways that it can't see. A replica that was frozen has
-// received nothing in the meantime: it keeps the previous number for a moment, or use reported by
-// the others would count as use of a small share of them.
+// received nothing in the meantime: it keeps the previous number for a moment, or usage reported by
+// the others would count as usage of a small share of them.
 func (l *Ledger[K]) UpdateShares(now time.Time, connected, seen int, partitioned bool) {
 	if now.Sub(l.updatedAt) > tightTimeout {
 		l.holdUntil = now.Add(catchUpTime)
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -12,10 +12,10 @@
 	// used, each without what has leaked away; share is the share that used refers to.
 	used, ownUsed float64
 	share         float64
-	// absentUsed is the use of gateways that are no longer in the connected share.
+	// absentUsed is the usage of gateways that are no longer in the connected share.
 	absentUsed float64
 	at         time.Time
-	// unreported is the use of this gateway that it hasn't reported.
+	// unreported is the usage of this gateway that it hasn't reported.
 	unreported float64
 	reportedAt time.Time
 	// refused is the size of the requests that were refused here with a time to retry, without what
@@ -24,27 +24,28 @@
 	// disconnected is set while the gateway's own share applies, since it has received no update
 	// for some time.
 	disconnected bool
-	// credit is what could have leaked away while no updates arrived, had the use been known; it is
-	// deducted from the use that arrives right after that, until catchUpTime after creditAt.
+	// credit is what could have leaked away while no updates arrived, had the usage been known; it
+	// is deducted from the usage that arrives right after that, until catchUpTime after creditAt.
 	credit   float64
 	creditAt time.Time
 }
 
-// Limiter limits the use of organisations, at one of many gateways or at a replica of control.
+// Limiter limits the usage of organisations, at one of many gateways or at a replica of control.
 //
-// Each gateway may use the whole limit: its own use counts at once, the use of the others some tens
-// of milliseconds later, when updates arrive. What was used beyond the limit in the meantime is a
-// debt that has to leak away first. While a gateway receives no updates it may use only its own
-// share, so that all shares together stay within the limit however the gateways are partitioned.
+// Each gateway may use the whole limit: its own usage counts at once, the usage of the others some
+// tens of milliseconds later, when updates arrive. What was used beyond the limit in the meantime
+// is a debt that has to leak away first. While a gateway receives no updates it may use only its
+// own share, so that all shares together stay within the limit however the gateways are
+// partitioned.
 type Limiter struct {
 	bounds   Bounds
 	share    Share
 	accounts map[string]*account
-	// synced is set once this gateway has received the use of all gateways.
+	// synced is set once this gateway has received the usage of all gateways.
 	synced bool
 }
 
-// NewLimiter returns a limiter without any use. Since others may have used much already, its
+// NewLimiter returns a limiter without any usage. Since others may have used much already, its
 // accounts start with little capacity.
 func NewLimiter(b Bounds) *Limiter {
 	return &Limiter{bounds: b, accounts: map[string]*account{}}
@@ -111,7 +112,7 @@
 	a.share = share
 }
 
-// advance lets use leak away up to now. If updates have stopped in the meantime, the fraction of
+// advance lets usage leak away up to now. If updates have stopped in the meantime, the fraction of
 // its own share that the gateway has used is from then on at least the used fraction of the whole.
 func (l *Limiter) advance(now time.Time, a *account) {
 	staleAt := l.share.Updated.Add(tightTimeout)
@@ -153,13 +154,13 @@
 	}
 }
 
-// catchUpTime is how long delayed updates may keep arriving after a silence. Until then, the use of
-// others is offset by what has leaked away in the meantime.
+// catchUpTime is how long delayed updates may keep arriving after a silence. Until then, the usage
+// of others is offset by what has leaked away in the meantime.
 const catchUpTime = 300 * time.Millisecond
 
-// ChargeRemote counts the use of others. After a silence, as when this process was frozen, updates
-// of several seconds arrive at once, and part of that use has already leaked away. ChargeRemote
-// returns the part that hasn't.
+// ChargeRemote counts the usage of others. After a silence, as when this process was frozen,
+// updates of several seconds arrive at once, and part of that usage has already leaked away.
+// ChargeRemote returns the part that hasn't.
 func (l *Limiter) ChargeRemote(now time.Time, name string, size float64) float64 {
 	a := l.accounts[name]
 	if a == nil {
@@ -171,8 +172,8 @@
 	return size
 }
 
-// takeCredit returns how much of the use of others has already leaked away, and deducts it from the
-// credit.
+// takeCredit returns how much of the usage of others has already leaked away, and deducts it from
+// the credit.
 func (a *account) takeCredit(now time.Time, size float64) float64 {
 	if now.Sub(a.creditAt) > catchUpTime {
 		a.credit = 0
@@ -182,7 +183,7 @@
 	return out
 }
 
-// MergeUsage sets the total use as reported by a process that has counted for longer. Use known
+// MergeUsage sets the total usage as reported by a process that has counted for longer. Usage known
 // here stays if it is higher, unless it was only assumed at the start.
 func (l *Limiter) MergeUsage(now time.Time, used map[string]int) {
 	for name, a := range l.accounts {
@@ -200,10 +201,10 @@
 // detect it, with a margin.
 const partitionDetection = time.Second
 
-// mergeAfterPartition counts the use of others during a partition and returns what was counted.
-// Most of that use has leaked away: once the partition is detected each side keeps to its share, so
-// that the total use is no higher than at the side that has used more of its own share. baseline is
-// that use; several updates are counted against the same baseline.
+// mergeAfterPartition counts the usage of others during a partition and returns what was counted.
+// Most of that usage has leaked away: once the partition is detected each side keeps to its share,
+// so that the total usage is no higher than at the side that has used more of its own share.
+// baseline is that usage; several updates are counted against the same baseline.
 func (l *Limiter) mergeAfterPartition(now time.Time, used map[string]int, baseline map[string]float64) map[string]int {
 	out := map[string]int{}
 	for name, size := range used {
@@ -220,7 +221,7 @@
 	return out
 }
 
-// connectedUsage returns the use within the connected share.
+// connectedUsage returns the usage within the connected share.
 func (l *Limiter) connectedUsage(now time.Time) map[string]float64 {
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
@@ -230,7 +231,7 @@
 	return out
 }
 
-// scaleToConnected converts total use to use within the connected share.
+// scaleToConnected converts total usage to usage within the connected share.
 func (l *Limiter) scaleToConnected(usage map[string]int) map[string]float64 {
 	out := make(map[string]float64, len(usage))
 	for name, used := range usage {
@@ -241,7 +242,7 @@
 	return out
 }
 
-// Usage returns the total use of each limit, in the form that MergeUsage accepts.
+// Usage returns the total usage of each limit, in the form that MergeUsage accepts.
 func (l *Limiter) Usage(now time.Time) map[string]int {
 	out := map[string]int{}
 	for name, a := range l.accounts {
@@ -253,5 +254,5 @@
 	return out
 }
 
-// minShare keeps use from growing without bound when scaled up while no share is known.
+// minShare keeps usage from growing without bound when scaled up while no share is known.
 const minShare = 0.001
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -11,8 +11,8 @@
 
 var limiterBounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 120000}
 
-// newSynced returns a limiter of one organisation that has received an update without any use, and
-// the time.
+// newSynced returns a limiter of one organisation that has received an update without any usage,
+// and the time.
 func newSynced(s Share) (*Limiter, time.Time) {
 	now := time.Unix(1000, 0)
 	l := NewLimiter(limiterBounds)
@@ -55,7 +55,7 @@
 	assert.Assert(t, !l.Take(now, "o", 1, 0).OK)
 }
 
-// TestMergeUsage guards against losing known use to a report from a replica that knows less. Use
+// TestMergeUsage guards against losing known usage to a report from a replica that knows less. Usage
 // that was only assumed at the start must be replaced.
 func TestMergeUsage(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestFrozenReplicaCatchesUp guards against a replica that was frozen, and receives all use of that
-// time at once, counting more than the others know of, as if few gateways had used it.
+// TestFrozenReplicaCatchesUp guards against a replica that was frozen, and receives all usage of
+// that time at once, counting more than the others know of, as if few gateways had used it.
 func TestFrozenReplicaCatchesUp(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limits := map[string]Limit{"o": {Rate: 10000, Burst: 10000}}
@@ -151,7 +151,7 @@
 	assert.Assert(t, got <= want+int(limiterBounds.leakRate(limits["o"])/2), "%d, the others know of %d", got, want)
 }
 
-// TestPartitionedReplicaCatchesUp guards against a replica that counts seconds of delayed use as
+// TestPartitionedReplicaCatchesUp guards against a replica that counts seconds of delayed usage as
 // current when a partition ends and all updates arrive at once.
 func TestPartitionedReplicaCatchesUp(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -195,8 +195,8 @@
 	assert.Assert(t, sent <= bound, "%d was sent to its gateways", sent)
 }
 
-// TestUsageSurvivesShareChanges guards against use reported to a small group being multiplied when
-// the group grows again, as if each of the other gateways had used as much.
+// TestUsageSurvivesShareChanges guards against usage reported to a small group being multiplied
+// when the group grows again, as if each of the other gateways had used as much.
 func TestUsageSurvivesShareChanges(t *testing.T) {
 	l, now := newSynced(Share{Connected: 1, Disconnected: 0.05})
 	l.Charge(now, "o", 20000)
@@ -207,7 +207,7 @@
 	assert.Equal(t, l.Usage(now)["o"], 25000)
 }
 
-// TestLimitsChange guards against lost or wrong use when limits change: use stays when a limit
+// TestLimitsChange guards against lost or wrong usage when limits change: usage stays when a limit
 // changes, an organisation without a limit isn't counted any more, and a new limit starts with its
 // burst used.
 func TestLimitsChange(t *testing.T) {
--- a/quota/peer.go
+++ b/quota/peer.go
@@ -10,7 +10,7 @@
 	// used is what was used at the gateways of that replica.
 	used map[string]int
 	// updatedAt is when the last update was received from it. After a silence, delayed updates
-	// arrive all at once until catchUpUntil; baseline is the use that was known when that began.
+	// arrive all at once until catchUpUntil; baseline is the usage that was known when that began.
 	updatedAt, catchUpUntil time.Time
 	baseline                map[string]float64
 }
@@ -24,7 +24,7 @@
 	maxPeers = 32
 )
 
-// ApplyPeerUpdate counts the use in an update from another replica.
+// ApplyPeerUpdate counts the usage in an update from another replica.
 func (l *Ledger[K]) ApplyPeerUpdate(now time.Time, u *UsageUpdate) {
 	p := l.peers[u.Start]
 	if !u.Whole {
@@ -54,7 +54,7 @@
 }
 
 // applyDelta counts what was used at another replica since its last update. After a silence the
-// update holds the use of several seconds, most of which has leaked away.
+// update holds the usage of several seconds, most of which has leaked away.
 func (l *Ledger[K]) applyDelta(now time.Time, p *peer, used map[string]int) {
 	if now.Sub(p.updatedAt) > maxPeerSilence {
 		p.catchUpUntil, p.baseline = now.Add(catchUpTime), l.limiter.connectedUsage(now)
@@ -83,7 +83,7 @@
 	l.addToTotal(l.limiter.mergeAfterPartition(now, missed, baseline))
 }
 
-// addToTotal adds use that hasn't leaked away to what is sent to gateways.
+// addToTotal adds usage that hasn't leaked away to what is sent to gateways.
 func (l *Ledger[K]) addToTotal(used map[string]int) {
 	for name, size := range used {
 		l.total.used[name] += size
--- a/quota/report.go
+++ b/quota/report.go
@@ -16,18 +16,18 @@
 	return false
 }
 
-// Rules for reports of use.
+// Rules for reports of usage.
 const (
-	// reportDivisor is the divisor of one gateway's share of the remaining capacity above which
-	// use is reported at once. All gateways together leave at most the same fraction of the
-	// remaining capacity unreported.
+	// reportDivisor: usage above 1/reportDivisor of one gateway's share of the remaining capacity
+	// is reported at once. All gateways together leave at most the same fraction of the remaining
+	// capacity unreported.
 	reportDivisor = 32
-	// maxReportDelay is how long smaller use may stay unreported.
+	// maxReportDelay is how long smaller usage may stay unreported.
 	maxReportDelay = 400 * time.Millisecond
 )
 
-// shouldReport reports whether use has to be reported now, where reportedAt is the time of the last
-// report.
+// shouldReport reports whether usage has to be reported now, where reportedAt is the time of the
+// last report.
 func (l *Limiter) shouldReport(now time.Time, name string, unreported float64, reportedAt time.Time) bool {
 	if unreported == 0 {
 		return false
@@ -41,7 +41,7 @@
 	return math.Abs(unreported)*reportDivisor >= remaining*l.share.Disconnected
 }
 
-// TakeUnreported returns the use of this gateway to report now, by organisation, and marks it as
+// TakeUnreported returns the usage of this gateway to report now, by organisation, and marks it as
 // reported; nil if there is none.
 func (l *Limiter) TakeUnreported(now time.Time) map[string]int {
 	var out map[string]int
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -14,7 +14,7 @@
 	weights     map[string]float64
 	totalWeight float64
 	recent      map[string]*decayingSum
-	// all is the recent use of all organisations.
+	// all is the recent usage of all organisations.
 	all decayingSum
 }
 
@@ -25,10 +25,10 @@
 }
 
 const (
-	// decayTime is the time constant of recent use. It covers several requests of a small
+	// decayTime is the time constant of recent usage. It covers several requests of a small
 	// organisation, and is about the duration of a run, for which a request occupies its slot.
 	decayTime = 4 * time.Second
-	// excessFactor is how far above the mean use an organisation must be: on days without a burst
+	// excessFactor is how far above the mean usage an organisation must be: on days without a burst
 	// of one organisation, they differ by less.
 	excessFactor = 1.5
 )
@@ -52,7 +52,7 @@
 	}
 }
 
-// Add counts the use of an organisation at any gateway.
+// Add counts the usage of an organisation at any gateway.
 func (f *FairShares) Add(now time.Time, name string, size float64) {
 	if f.weights[name] == 0 {
 		return
@@ -67,7 +67,7 @@
 }
 
 // Exceeds reports whether an organisation uses more than its share. An organisation without a limit
-// never does, since its use isn't reported.
+// never does, since its usage isn't reported.
 func (f *FairShares) Exceeds(now time.Time, name string) bool {
 	r := f.recent[name]
 	if r == nil {
--- a/quota/shares_test.go
+++ b/quota/shares_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestFairSharesFollowLimits guards against shares that ignore a change of the limits, and against
-// use that is kept for an organisation whose limit was removed.
+// usage that is kept for an organisation whose limit was removed.
 func TestFairSharesFollowLimits(t *testing.T) {
 	s := newTestShares()
 	now := time.Unix(1000, 0)
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -9,7 +9,7 @@
 
 // The simulation has gateways and replicas of control that exchange messages with delays, over
 // links that fail silently and are detected as failed later. Requests arrive at all running
-// gateways. The accepted use is checked against the bounds.
+// gateways. The accepted usage is checked against the bounds.
 
 const (
 	simStep               = 10 * time.Millisecond
@@ -208,7 +208,7 @@
 	g.limiter.SetShare(s.now, share)
 }
 
-// runGateway lets a gateway connect to a replica and report its use.
+// runGateway lets a gateway connect to a replica and report its usage.
 func (s *sim) runGateway(i int, g *simGateway, n int) {
 	if g.off {
 		if s.now.After(g.backAt) {
@@ -267,7 +267,7 @@
 	s.taken[name] = list
 }
 
-// worstWindow returns the highest use in a window as a fraction of what is allowed.
+// worstWindow returns the highest usage in a window as a fraction of what is allowed.
 func (s *sim) worstWindow(name string) float64 {
 	l := s.limits[name]
 	allowed := (l.Rate*s.bounds.Window.Seconds()+l.Burst)*(1+s.bounds.Overshoot) + s.bounds.Slack
@@ -366,9 +366,9 @@
 }
 
 // The demand of organisations as a multiple of their rate. Whenever all gateways or half of the
-// replicas are partitioned at once, they use the limit side by side until they detect it, and the
-// simulation does that every other second: the reserve suffices for twice the rate. At 4.2 times
-// the rate, use was up to 7 % too high in 60 seeds.
+// replicas are partitioned at once, both sides use the whole limit until they detect it. The
+// simulation does that every other second, and the reserve suffices for that at twice the rate, not
+// at simLoad.
 const (
 	simLoad          = 4.2
 	simPartitionLoad = 2.0
--- a/quota/take.go
+++ b/quota/take.go
@@ -8,7 +8,7 @@
 	// RetryAfter is when a refused request should be retried, as far as this gateway can tell:
 	// requests that were refused earlier go first.
 	RetryAfter time.Duration
-	// Used is the use that was counted against Capacity, which is what the limit allows to the
+	// Used is the usage that was counted against Capacity, which is what the limit allows to the
 	// share that applies. Disconnected reports whether that is the gateway's own share, since it
 	// has received no update for Age.
 	Used, Capacity float64
