--- a/consensus/members.go
+++ b/consensus/members.go
@@ -38,9 +38,9 @@
 	return m
 }
 
-// syncPeers keeps a progress for each other replica. The time of the last acknowledgement of a new
-// one is now; setMembers passes the zero time, so that the new replica doesn't extend the leader
-// lease.
+// syncPeers keeps a progress for each other replica. A new one counts as having acknowledged a
+// heartbeat round at now. setMembers passes the zero time, so that the new replica doesn't extend
+// the leader lease.
 func (n *Node) syncPeers(now time.Time) {
 	want := append(slices.Clone(n.members.Voters), n.members.Learners...)
 	for _, id := range want {
--- a/ratelimit/demand.go
+++ b/ratelimit/demand.go
@@ -141,8 +141,8 @@
 	return out
 }
 
-// Supply is the total limit of the servers of a service that name one, in requests per second, and
-// the number of requests waiting for them.
+// Supply is the total limit of the servers of a service that report one, in requests per second,
+// and the number of requests waiting for them.
 type Supply struct {
 	Rate    float64
 	Waiting int
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,4 +1,4 @@
-// Package ratelimit bounds the requests of all gateways together to a backend server that names a
+// Package ratelimit bounds the requests of all gateways together to a backend server that reports a
 // limit of requests per second in its answers.
 //
 // No gateway knows in time what the others send, so a count of its own requests isn't enough: each
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -7,7 +7,7 @@
 
 // Observation is what one answer of a server reports about the server's limit.
 type Observation struct {
-	// Limited reports whether the answer names a limit, which is Rate requests per second from all
+	// Limited reports whether the answer has a limit, which is Rate requests per second from all
 	// gateways together.
 	Limited bool
 	Rate    float64
--- a/ratelimit/sim_test.go
+++ b/ratelimit/sim_test.go
@@ -26,7 +26,7 @@
 
 func (s strategy) String() string { return [...]string{"tokens", "shares", "lease", "whole limit"}[s] }
 
-// sim is a fleet in simulated time in front of one server, which names a limit and is the only one
+// sim is a fleet in simulated time in front of one server, which reports a limit and is the only one
 // of its service. Messages between gateways and replicas take some milliseconds, and one in twenty
 // takes 200 ms.
 type sim struct {
--- a/router/progress.go
+++ b/router/progress.go
@@ -178,8 +178,8 @@
 	c.stopTimer(r)
 }
 
-// transferTime returns the shortest time that the transfer can take, with the
-// link of the prefill server to itself.
+// transferTime returns the time that the transfer takes if no other one uses
+// the link of the prefill server.
 func transferTime(r *request) time.Duration {
 	return time.Duration(float64(r.KVBytes) / max(r.prefill.server.LinkRate, 1) * float64(time.Second))
 }
