--- a/gateway/await_server.go
+++ b/gateway/await_server.go
@@ -17,7 +17,7 @@
 const (
 	// waitForServer: no server of the service is known.
 	waitForServer waitReason = iota
-	// waitForToken: the servers have announced rate limits, and only tokens are missing.
+	// waitForToken: the servers have reported rate limits, and only tokens are missing.
 	waitForToken
 	// waitForPause: the servers have asked for no requests for a while.
 	waitForPause
--- a/gateway/buffer.go
+++ b/gateway/buffer.go
@@ -50,7 +50,7 @@
 }
 
 // errAnswerTooLong means that an answer exceeds maxAnswer.
-var errAnswerTooLong = errors.New("gateway: answer exceeds the max size")
+var errAnswerTooLong = errors.New("gateway: answer exceeds the maximum size")
 
 // readAnswer reads the complete answer of a server, no faster than memory becomes available for it.
 func readAnswer(ctx context.Context, memory *membudget.Account, a *backend.Answer) (bufferedAnswer, error) {
@@ -70,7 +70,7 @@
 
 // readChunk reads the next chunk, once there is memory for it.
 func (b *bufferedAnswer) readChunk(ctx context.Context, memory *membudget.Account, a *backend.Answer) error {
-	// One byte beyond the max size shows whether the answer ends there.
+	// One byte beyond maxAnswer shows whether the answer ends there.
 	size := min(b.nextSize(a.Length), maxAnswer+1-b.size)
 	if size <= 0 {
 		return errAnswerTooLong
@@ -130,15 +130,15 @@
 	*b = bufferedAnswer{}
 }
 
-// memoryFullLogInterval is the min time between two log lines about full memory.
+// memoryFullLogInterval is the minimum time between two log lines about full memory.
 const memoryFullLogInterval = 10 * time.Second
 
 // memoryRetry is the Retry-After of a request refused for lack of memory: other callers must first
 // have read their answers.
 const memoryRetry = time.Second
 
-// abortWrite ends the write of an answer that is given up. It fails only on a closed connection,
-// which needs no deadline.
+// abortWrite aborts the write of an answer. It fails only on a closed connection, which needs no
+// deadline.
 func abortWrite(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(clock.Deadline(0))
 }
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -264,14 +264,14 @@
 	return f.view.Exclusion(f.clock.Now(), w, e)
 }
 
-// notePrefill records how long an engine took to read a prompt.
+// notePrefill records how long an engine took to prefill a prompt.
 func (f *fleet) notePrefill(id string, took time.Duration, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.NotePrefill(f.clock.Now(), id, took, tokens)
 }
 
-// releasePrefill releases the reservation at the engine that reads a prompt.
+// releasePrefill releases the reservation at the engine that prefills a prompt.
 func (f *fleet) releasePrefill(id string, w dispatch.Work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -380,7 +380,7 @@
 	return f.runTimes[service].Token
 }
 
-// queueTimeout returns the max time that a request waits for capacity, if it is to be served within
+// queueTimeout returns how long a request waits for capacity at most, if it is to be served within
 // a given time.
 func (f *fleet) queueTimeout(w dispatch.Work, within time.Duration) time.Duration {
 	f.mu.Lock()
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -15,9 +15,9 @@
 
 // Times and bounds of generation.
 const (
-	// prefillDeadlineRatio times the target is the time by which the prompt should have been read.
-	// An answer that is a little late has the same value as one that comes after a refusal, and
-	// more if the queue is shorter than estimated.
+	// prefillDeadlineRatio times the target is the time by which the prompt should have been
+	// prefilled. An answer that is a little late has the same value as one that comes after a
+	// refusal, and more if the queue is shorter than estimated.
 	prefillDeadlineRatio = 1.5
 	// maxRounds bounds how often a request is placed.
 	maxRounds = 3
@@ -25,7 +25,7 @@
 	kvMargin = 100 * time.Millisecond
 )
 
-// errEngineLeaving: a decode engine started to leave while the prompt was read.
+// errEngineLeaving: a decode engine started to leave while the prompt was prefilled.
 var errEngineLeaving = errors.New("gateway: the engine is leaving")
 
 // generation is a request to a model engine in progress. The generation of its answer at a decode
@@ -35,7 +35,7 @@
 	q    *request
 	pair dispatch.Pair
 	// decodeReserved is the decode engine whose memory is reserved, prefillReserved the engine that
-	// is reserved for reading the prompt; empty if none.
+	// is reserved for the prefill; empty if none.
 	decodeReserved, prefillReserved string
 	// reservedAt is when both were reserved.
 	reservedAt time.Time
@@ -53,7 +53,7 @@
 }
 
 // generate serves a request to a model engine: it reserves memory at a decode engine, has the
-// prompt read, and then has the answer generated.
+// prompt prefilled, and then has the answer generated.
 func (g *Gateway) generate(ctx context.Context, w http.ResponseWriter, q *request) {
 	g.streams.Add(1)
 	defer g.streams.Add(-1)
@@ -92,7 +92,7 @@
 	if n.stream.started && !n.stream.canResume() {
 		return false
 	}
-	// A retry reads the prompt once more and calls a decode engine once more, if either was reached
+	// A retry calls a prefill engine and a decode engine once more, each only if one was reached
 	// before.
 	sends := min(n.prefills, 1) + min(n.decodes, 1)
 	if last.kind == notSent {
@@ -138,7 +138,7 @@
 	}
 }
 
-// round has the reserved engines read the prompt and generate the answer.
+// round has the reserved engines prefill the prompt and generate the answer.
 func (n *generation) round(ctx context.Context) result {
 	n.handover = dispatch.Handover{}
 	if !n.g.contentAllowed(n.q) {
@@ -156,7 +156,7 @@
 			n.g.fleet.countRetry(n.q.service.Name)
 		}
 		if r.kind == broken || r.kind == late {
-			r.kind = notRun // reading a prompt is not a run
+			r.kind = notRun // a prefill is not a run
 		}
 		return r
 	}
@@ -178,7 +178,7 @@
 	return r
 }
 
-// wasteCause returns why a prompt that was read has no complete answer; accepted means that a
+// wasteCause returns why a prompt that was prefilled has no complete answer; accepted means that a
 // decode engine had accepted it.
 func wasteCause(ctx context.Context, r result, accepted bool) string {
 	switch {
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -14,16 +14,16 @@
 const (
 	// holdTimeout bounds how long an engine may take to reserve capacity, on top of holdRoundTrips
 	// round trips: one to open a connection and one for the call. An engine may still make the
-	// reservation after the timeout, and then nobody uses it.
+	// reservation after the timeout, and then no request uses it.
 	holdTimeout    = 120 * time.Millisecond
 	holdRoundTrips = 2
-	// holdMargin is added to the expected time until the prompt has been read.
+	// holdMargin is added to the expected time until the prompt has been prefilled.
 	holdMargin = 600 * time.Millisecond
 )
 
-// acquireHold has the reserved decode engine itself reserve capacity before any prompt is read for
-// it: what gateways know about each other is some tens of milliseconds old, and only the engine can
-// tell whether it still has a free slot. It returns false if the engine has none or can't be
+// acquireHold has the reserved decode engine itself reserve capacity before any prompt is prefilled
+// for it: what gateways know about each other is some tens of milliseconds old, and only the engine
+// can tell whether it still has a free slot. It returns false if the engine has none or can't be
 // reached.
 func (n *generation) acquireHold(ctx context.Context) bool {
 	p, engine := &n.g.cfg.Protocol, n.q.service.Engine
--- a/gateway/hub.go
+++ b/gateway/hub.go
@@ -63,11 +63,11 @@
 const (
 	// minGateways is assumed while not all gateways are known.
 	minGateways = 3
-	// peakDuration is how long the max that was seen remains in use.
+	// peakDuration is how long the maximum that was seen remains in use.
 	peakDuration = 20 * time.Second
 )
 
-// countGateways returns the number of gateways: the max that any replica has seen recently. The
+// countGateways returns the number of gateways: the maximum that any replica has seen recently. The
 // caller holds l.mu.
 func (l *links) countGateways(now time.Time) int {
 	seen := minGateways
@@ -108,9 +108,9 @@
 // chooseHub returns the hub, which is the replica with which this gateway shares its state. Among
 // the replicas with links to most of the others it prefers one in its own availability zone, then
 // the leader, then any; a partitioned replica is chosen only if there is no other. While the
-// replicas are partitioned, all gateways thus meet at the larger side. Among equals it chooses the
-// lowest address, so that the gateways of a zone choose the same replica. A replica in another zone
-// is not chosen before hubWait. The caller holds l.mu.
+// replicas are partitioned, all gateways thus use a hub on the larger side. Among equals it chooses
+// the lowest address, so that the gateways of a zone choose the same replica. A replica in another
+// zone is not chosen before hubWait. The caller holds l.mu.
 func (l *links) chooseHub(now time.Time) string {
 	best, rank := "", -1
 	for a, p := range l.peers {
--- a/gateway/key.go
+++ b/gateway/key.go
@@ -12,8 +12,8 @@
 const authorization = "Authorization"
 
 // bearerKey returns the key of a caller: a single field with the scheme Bearer in any case, blanks,
-// and one word. Anything else is not a key, so that a server and a gateway can't read two different
-// ones.
+// and one word. Anything else is not a key, so that a gateway and a server can't find different
+// keys in the same request.
 func bearerKey(fields []string) (string, bool) {
 	if len(fields) != 1 {
 		return "", false
--- a/gateway/limit_tokens.go
+++ b/gateway/limit_tokens.go
@@ -103,7 +103,7 @@
 	if supported || f.limited.connectedAt.IsZero() {
 		f.limited.connectedAt = now
 	}
-	f.view.Standalone = now.Sub(f.limited.connectedAt) >= standaloneAfter // also for the next limit that is announced
+	f.view.Standalone = now.Sub(f.limited.connectedAt) >= standaloneAfter // also for the next limit that is reported
 	if !f.limited.present.Load() {
 		f.mu.Unlock()
 		return
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -142,7 +142,7 @@
 	q.mayHaveRun = true
 }
 
-// refund takes back the charge for a request that has not run.
+// refund cancels the charge for a request that has not run.
 func (g *Gateway) refund(q *request) {
 	if q.charged && !q.mayHaveRun {
 		g.adjustUsage(q, -q.cost)
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -19,7 +19,7 @@
 	redialInterval    = 60 * time.Millisecond
 	linkIdleTimeout   = 1500 * time.Millisecond
 	heartbeatInterval = 400 * time.Millisecond
-	// loadsInterval is the min time between two updates of this gateway's reservations.
+	// loadsInterval is the minimum time between two updates of this gateway's reservations.
 	loadsInterval = 40 * time.Millisecond
 )
 
@@ -33,8 +33,8 @@
 	peers map[string]*peer
 	// seeds and members are the addresses to connect to.
 	seeds, members []string
-	// gateways is the number of gateways that each replica sees, and peakGateways the recent max: a
-	// partitioned gateway must not take over the shares of those that it no longer sees.
+	// gateways is the number of gateways that each replica sees, and peakGateways the recent
+	// maximum: a partitioned gateway must not take over the shares of those that it no longer sees.
 	gateways     map[string]int
 	peakGateways int
 	peakAt       time.Time
@@ -225,7 +225,7 @@
 	l.g.limits.update(u)
 }
 
-// connected reports whether the hub of this gateway has been heard from recently and has links to
+// connected reports whether the hub of this gateway has recently sent a message and has links to
 // most of the other replicas.
 func (l *links) connected() bool {
 	l.mu.Lock()
--- a/gateway/load_updates.go
+++ b/gateway/load_updates.go
@@ -7,7 +7,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// Min times between two updates if no reservation has changed.
+// Minimum times between two updates if no reservation has changed.
 const (
 	// progressInterval applies to the progress of runs: some events of a run.
 	progressInterval = 160 * time.Millisecond
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -24,8 +24,8 @@
 	leavingCopyTimeout = 400 * time.Millisecond
 	// migrationRetryDelay is the time after which a run that could not migrate tries again.
 	migrationRetryDelay = 150 * time.Millisecond
-	// minRemainingEvents is the min number of events still to come for which a migration is worth
-	// the bytes copied.
+	// minRemainingEvents is the minimum number of events still to come for which a migration
+	// justifies the bytes copied.
 	minRemainingEvents = 3
 )
 
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -9,7 +9,7 @@
 	"github.com/ledgepin/ledgepin/registry"
 )
 
-// prefill has the prompt read.
+// prefill has the reserved engine prefill the prompt.
 func (n *generation) prefill(ctx context.Context) result {
 	g, h, s := n.g, &n.g.cfg.Protocol.Headers, n.pair.Prefill
 	started := g.clock.Now()
@@ -42,7 +42,7 @@
 	return res
 }
 
-// releasePrefill releases the reservation for reading the prompt.
+// releasePrefill releases the reservation for the prefill.
 func (n *generation) releasePrefill() {
 	if n.prefillReserved != "" {
 		n.g.fleet.releasePrefill(n.prefillReserved, n.q.work)
--- a/gateway/prompt_cache.go
+++ b/gateway/prompt_cache.go
@@ -14,7 +14,7 @@
 // Times of listing the prompts cached by engines.
 const (
 	// cacheListTimeout bounds how long an engine may take to list its cached prompts: about the
-	// time of reading a prompt, which the list saves.
+	// time of the prefill that the list saves.
 	cacheListTimeout = 60 * time.Millisecond
 	// cacheListTTL is how long the lists are used: repeated requests come in bursts after an
 	// outage, and a list delays an engine's work.
@@ -88,7 +88,7 @@
 }
 
 // listCachedAt queries one engine for the number of tokens that it has cached of each prompt part.
-// If it returns an error, it also returns the parts that could be read.
+// If it returns an error, it also returns the parts that could be parsed.
 func (g *Gateway) listCachedAt(ctx context.Context, q *request, s *dispatch.Server) (map[string]int, error) {
 	p := &g.cfg.Protocol
 	res, body := g.exchange(ctx, q, s, g.callTo(q, s, p.ListCachedParts()))
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// reserveDecode reserves another decode engine for a prompt that has been read.
+// reserveDecode reserves another decode engine for a prompt that has been prefilled.
 func (f *fleet) reserveDecode(w dispatch.Work, e *route.Engine, zone string, avoid dispatch.Avoid) (dispatch.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -212,7 +212,7 @@
 	maxTokens = 1 << 30
 )
 
-// parseWork reads what a request will need at an engine.
+// parseWork determines from a request's header fields what it will need at an engine.
 func parseWork(h *backend.Headers, in http.Header, s *route.Service) dispatch.Work {
 	prompt, maxOutput := parseTokens(in.Get(h.Tokens))
 	w := dispatch.Work{Service: s.Name, Expected: defaultAnswerTokens, Prompt: prompt}
@@ -225,14 +225,14 @@
 	return w
 }
 
-// parseTokens reads the number of tokens of a prompt and the max number of tokens of its answer; an
-// unreadable number is zero.
+// parseTokens parses the number of tokens of a prompt and the maximum number of tokens of its
+// answer; a number that can't be parsed is zero.
 func parseTokens(field string) (prompt, maxOutput int) {
 	first, second, _ := strings.Cut(field, ",")
 	return parseTokenCount(first), parseTokenCount(second)
 }
 
-// parseTokenCount reads a number of tokens. A number that is too large becomes maxTokens rather
+// parseTokenCount parses a number of tokens. A number that is too large becomes maxTokens rather
 // than zero, because it counts against the limit of an organisation.
 func parseTokenCount(field string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(field))
@@ -242,7 +242,7 @@
 	return min(n, maxTokens)
 }
 
-// parseNonNegative reads a non-negative number, which may be infinite.
+// parseNonNegative parses a non-negative number, which may be infinite.
 func parseNonNegative(field string) (float64, bool) {
 	n, err := strconv.ParseFloat(field, 64)
 	return n, (err == nil || errors.Is(err, strconv.ErrRange)) && n >= 0
