--- a/gateway/limited_test.go
+++ b/gateway/limited_test.go
@@ -155,7 +155,7 @@
 	assert.Equal(t, len(b.Arrivals()), 1)
 }
 
-// TestUnreadableLimitIsIgnored checks that a limit that can't be read leaves the known one in
+// TestUnreadableLimitIsIgnored checks that a limit that can't be parsed leaves the known one in
 // force, fails no request, and is logged once.
 func TestUnreadableLimitIsIgnored(t *testing.T) {
 	h, log := newLoggedHarness(t)
@@ -259,9 +259,9 @@
 	assert.Equal(t, calls(), before)
 }
 
-// TestKVCacheAtLimitedEngineIsFreed has the engine that read a prompt report a limit in its answer,
-// and the run be refused: the KV cache is freed although there is no token, and the next token is
-// spent on that call.
+// TestKVCacheAtLimitedEngineIsFreed has the engine that prefilled a prompt report a limit in its
+// answer, and the run be refused: the KV cache is freed although there is no token, and the next
+// token is spent on that call.
 func TestKVCacheAtLimitedEngineIsFreed(t *testing.T) {
 	h, _ := newLimitedHarness(t)
 	p, d := h.add("llm", "p", registry.Prefill), h.add("llm", "d", registry.Decode)
--- a/gateway/migrations_test.go
+++ b/gateway/migrations_test.go
@@ -57,7 +57,7 @@
 	target    string
 	event     func(body string, n int) string
 	lastEvent int
-	// maxTries is the max number of attempts of the caller, which resumes after the events it has.
+	// maxTries is the maximum number of attempts of the caller, which resumes after the events it has.
 	maxTries int
 	// disconnects is set if the caller disconnects at times, and retries.
 	disconnects bool
--- a/gateway/selfreport_test.go
+++ b/gateway/selfreport_test.go
@@ -98,9 +98,9 @@
 	assert.Equal(t, len(engines["p1"].SelfReportRecords())+len(engines["d1"].SelfReportRecords()), before)
 }
 
-// TestOnlyOneFreeCallDuringRetryAfter has an engine ask for a pause while it reads three prompts,
-// which no decode engine accepts: one call frees what the engine keeps for no request, and nothing
-// else reaches it.
+// TestOnlyOneFreeCallDuringRetryAfter has an engine ask for a pause while it prefills three
+// prompts, which no decode engine accepts: one call frees what the engine keeps for no request, and
+// nothing else reaches it.
 func TestOnlyOneFreeCallDuringRetryAfter(t *testing.T) {
 	h := newHarness(t)
 	p, d := h.add("llm", "p", registry.Prefill), h.add("llm", "d", registry.Decode)
--- a/gateway/unread_answer_test.go
+++ b/gateway/unread_answer_test.go
@@ -42,7 +42,7 @@
 	h.gateway.setTable(&table)
 }
 
-// setMaxConnections sets the max number of connections of a service.
+// setMaxConnections sets the maximum number of connections of a service.
 func (h *harness) setMaxConnections(service string, n int) {
 	table := *h.gateway.table.Load()
 	table.Version++
