--- a/dispatch/distance.go
+++ b/dispatch/distance.go
@@ -31,8 +31,8 @@
 // Constants of distance.
 const (
 	// crossZoneCost is the cost in milliseconds of a KV cache transfer to another zone, and
-	// of a stream from one: links between zones are slower and their bytes expensive. Streams
-	// are a large share of these bytes.
+	// of a stream from one: links between zones are slower and their bytes expensive. The
+	// cost of streams keeps many of these bytes within a zone.
 	crossZoneCost = 60.0
 	// crossRegionFactor is the ratio of the time of a KV cache transfer to another region to
 	// that of one to another zone, by the link rates that engines report.
