--- a/app/dev_break.go
+++ b/app/dev_break.go
@@ -14,17 +14,17 @@
 // faults adds the operator call that breaks things on purpose.
 func (d *Dev) faults(r *echo.Echo) {
 	r.POST("/v1/standins/:name/:action", func(c echo.Context) error {
-		if err := d.Break(c.Param("name"), c.Param("action")); err != nil {
+		if err := d.RunAction(c.Param("name"), c.Param("action")); err != nil {
 			return err
 		}
 		return c.String(http.StatusOK, c.Param("name")+": "+c.Param("action")+"\n")
 	})
 }
 
-// Break does something to a server: kill, restart, stall and unstall its
+// RunAction does something to a server: kill, restart, stall and unstall its
 // engine or service, kill-agent, restart-agent and drain-agent beside it, or
 // let it leave and return in the platform's list.
-func (d *Dev) Break(name, action string) error {
+func (d *Dev) RunAction(name, action string) error {
 	do := d.engineAction(name, action)
 	if do == nil {
 		do = d.serverAction(name, action)
