--- a/app/dev.go
+++ b/app/dev.go
@@ -74,11 +74,11 @@
 	defer a.mu.Unlock()
 	a.ln = listeners{log: d.opts.Log}
 	a.proc = agent.Start(a.conf)
-	addr, err := a.ln.links(a.addr, a.proc.Handler())
-	for try := 0; err != nil && try < rebinds; try++ {
+	addr, err := a.ln.serveLinks(a.addr, a.proc.Handler())
+	for try := 0; err != nil && try < maxRebinds; try++ {
 		// An outgoing connection may have taken the port of a killed agent.
-		time.Sleep(rebindEvery)
-		addr, err = a.ln.links(a.addr, a.proc.Handler())
+		time.Sleep(rebindInterval)
+		addr, err = a.ln.serveLinks(a.addr, a.proc.Handler())
 	}
 	a.addr = addr
 	return err
@@ -86,12 +86,12 @@
 
 // Tries to open a listener at an address that was in use before.
 const (
-	rebinds     = 20
-	rebindEvery = 100 * time.Millisecond
+	maxRebinds     = 20
+	rebindInterval = 100 * time.Millisecond
 )
 
 // now returns the agent that runs now.
-func (a *devAgent) now() *agent.Agent {
+func (a *devAgent) current() *agent.Agent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.proc
@@ -99,7 +99,7 @@
 
 func (a *devAgent) kill() {
 	a.ln.close()
-	a.now().Close()
+	a.current().Close()
 }
 
 // devEntry is an entry with its own listener.
@@ -149,7 +149,7 @@
 		}
 	}
 	var err error
-	if d.platform, err = standin.StartPlatform("127.0.0.1:0", d.names(), time.Second); err != nil {
+	if d.platform, err = standin.StartPlatform("127.0.0.1:0", d.serverNames(), time.Second); err != nil {
 		return err
 	}
 	d.control, err = control.Start(control.Config{
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	links, err := d.ln.links("127.0.0.1:0", d.control.Handler())
+	links, err := d.ln.serveLinks("127.0.0.1:0", d.control.Handler())
 	if err != nil {
 		return err
 	}
@@ -167,16 +167,16 @@
 			return err
 		}
 	}
-	if d.Operators, err = d.ln.serve(d.opts.OperatorListen, operator.NewServer(d.operators())); err != nil {
+	if d.Operators, err = d.ln.serve(d.opts.OperatorListen, operator.NewServer(d.operatorHandler())); err != nil {
 		return err
 	}
-	if err := d.firstSettings(ctx); err != nil {
+	if err := d.applyFirstSettings(ctx); err != nil {
 		return err
 	}
 	return d.waitReady(ctx)
 }
 
-func (d *Dev) names() []string {
+func (d *Dev) serverNames() []string {
 	out := make([]string, len(devServers))
 	for i, s := range devServers {
 		out[i] = s.name
@@ -230,7 +230,7 @@
 }
 
 // firstSettings makes the first change of the settings, as an operator would.
-func (d *Dev) firstSettings(ctx context.Context) error {
+func (d *Dev) applyFirstSettings(ctx context.Context) error {
 	v := devValues{Agents: map[string]string{}, Desk: settings.HashToken(DevDeskToken),
 		Review: settings.HashToken(DevReviewToken), Screen: settings.HashToken(DevScreenToken)}
 	for name, a := range d.agents {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (d *Dev) operators() http.Handler {
+func (d *Dev) operatorHandler() http.Handler {
 	roles := map[string]operator.Process{"control-1": d.control}
 	for i, e := range d.entries {
 		roles[fmt.Sprintf("entry-%d", i+1)] = e.proc
@@ -283,7 +283,7 @@
 	for name, a := range d.agents {
 		roles[name] = a
 	}
-	return operator.Handler(operator.Options{Processes: roles, Control: d.control, Log: d.opts.Log, ExtraRoutes: d.faults})
+	return operator.Handler(operator.Options{Processes: roles, Control: d.control, Log: d.opts.Log, ExtraRoutes: d.addActionRoute})
 }
 
 // Hints writes what to try next.
@@ -317,7 +317,7 @@
 		e.kill()
 	}
 	for _, a := range d.agents {
-		if a.now() != nil {
+		if a.current() != nil {
 			a.kill()
 		}
 	}
--- a/app/dev_break.go
+++ b/app/dev_actions.go
@@ -12,7 +12,7 @@
 )
 
 // faults adds the operator call that breaks things on purpose.
-func (d *Dev) faults(r *echo.Echo) {
+func (d *Dev) addActionRoute(r *echo.Echo) {
 	r.POST("/v1/standins/:name/:action", func(c echo.Context) error {
 		if err := d.RunAction(c.Param("name"), c.Param("action")); err != nil {
 			return err
@@ -65,7 +65,7 @@
 	case "restart-agent":
 		return func() error { a.kill(); return a.start(d) }
 	case "drain-agent":
-		return func() error { go a.now().Drain(d.ctx); return nil }
+		return func() error { go a.current().Drain(d.ctx); return nil }
 	case "leave", "return":
 		return func() error { d.platform.SetLeaving(name, action == "leave"); return nil }
 	}
@@ -89,7 +89,7 @@
 
 // Votes tells whether the agent beside a server votes on claims.
 func (d *Dev) Votes(name string) bool {
-	dump, ok := d.agents[name].now().Dump().(agent.Dump)
+	dump, ok := d.agents[name].current().Dump().(agent.Dump)
 	return ok && dump.Voting
 }
 
@@ -97,13 +97,13 @@
 func (d *Dev) KillEntry(n int) { d.entries[n].kill() }
 
 // Ready tells whether the agent that runs now can serve.
-func (a *devAgent) Ready() (bool, string) { return a.now().Ready() }
+func (a *devAgent) Ready() (bool, string) { return a.current().Ready() }
 
 // Dump returns the state of the agent.
-func (a *devAgent) Dump() any { return a.now().Dump() }
+func (a *devAgent) Dump() any { return a.current().Dump() }
 
 // Collect brings the gauges of the agent up to date.
-func (a *devAgent) Collect() { a.now().Collect() }
+func (a *devAgent) Collect() { a.current().Collect() }
 
 // Explain returns the agent's record of a request.
-func (a *devAgent) Explain(id string) (decision.Record, bool) { return a.now().Explain(id) }
+func (a *devAgent) Explain(id string) (decision.Record, bool) { return a.current().Explain(id) }
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -26,42 +26,42 @@
 	headerTimeout = 10 * time.Second
 	// callerIdle is longer than any idle time that operators set: a connection
 	// that a caller may still use is never closed.
-	callerIdle = 2 * time.Minute
-	apiIdle    = 30 * time.Second
+	callerIdleTimeout = 2 * time.Minute
+	apiIdleTimeout    = 30 * time.Second
 	// maxHeader bounds the head of a request in bytes.
-	maxHeader = 16 << 10
+	maxHeaderBytes = 16 << 10
 	// settle is how long a draining gateway still takes streams: until callers
 	// are sent elsewhere. What it takes later might not end in the grace time.
-	settle = 2900 * time.Millisecond
+	drainSettleTime = 2900 * time.Millisecond
 	// graceMargin is what is left of the grace time to end in order, and
 	// finishMargin what is left before that when the last request ends.
 	graceMargin  = 400 * time.Millisecond
 	finishMargin = 300 * time.Millisecond
 	// streamsEvery is how often a draining gateway looks whether streams run.
-	streamsEvery = 50 * time.Millisecond
+	streamPollInterval = 50 * time.Millisecond
 	// memoryShare is the part of the memory that the heap may fill.
-	memoryShare = 0.7
+	heapShare = 0.7
 	// Times of the replicated log where replicas are some milliseconds apart.
-	nearElection  = 600 * time.Millisecond
-	nearHeartbeat = 120 * time.Millisecond
+	minElectionTimeout = 600 * time.Millisecond
+	heartbeatInterval  = 120 * time.Millisecond
 )
 
 // limitMemory tells the collector how much memory the process has.
 func limitMemory(f *config.File) {
 	if f.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(f.Memory) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(f.Memory) * heapShare))
 	}
 }
 
 // discovered fills in how replicas find each other by seeds.
-func discovered(c *control.Config, part *config.Control) {
-	port := portOf(part.Links)
-	c.Name = part.Links
+func setDiscovery(c *control.Config, section *config.Control) {
+	port := portOf(section.Links)
+	c.Name = section.Links
 	c.Discovery = &control.Discovery{
-		Seeds: withPort(part.Discovery.Seeds, port), Bootstrap: part.Discovery.Found, Voters: 2*part.Discovery.Tolerate + 1,
+		Seeds: withPort(section.Discovery.Seeds, port), Bootstrap: section.Discovery.Found, Voters: 2*section.Discovery.Tolerate + 1,
 	}
-	c.ElectionMin, c.HeartbeatEvery = nearElection, nearHeartbeat
-	c.Roles = control.RoleConfig{Protocol: &platform.Protocol, Share: part.Engines.PrefillShare, Lease: part.Engines.OrderLease.D()}
+	c.ElectionMin, c.HeartbeatEvery = minElectionTimeout, heartbeatInterval
+	c.Roles = control.RoleConfig{Protocol: &platform.Protocol, Share: section.Engines.PrefillShare, Lease: section.Engines.OrderLease.D()}
 }
 
 // portOf returns the port of an address that was checked before.
@@ -82,24 +82,24 @@
 }
 
 func (p *Process) startGateway(token string) error {
-	part := p.file.Gateway
-	if part == nil {
+	section := p.file.Gateway
+	if section == nil {
 		return nil
 	}
 	p.gateway = gateway.Start(gateway.Config{
 		Name: p.file.Name, Zone: p.file.Zone, Zones: p.file.Zones, Token: token, Protocol: platform.Protocol, Log: p.log,
-		Seeds: withPort(part.Seeds, strconv.Itoa(part.LinksPort)),
-		Retry: dispatch.Budget{Ratio: part.Retry.Ratio, Slack: part.Retry.Slack, Window: part.Retry.Window.D()},
-		Quota: quotaOf(part.Quota), Memory: heldOf(p.file.Memory, part.Held),
+		Seeds: withPort(section.Seeds, strconv.Itoa(section.LinksPort)),
+		Retry: dispatch.Budget{Ratio: section.Retry.Ratio, Slack: section.Retry.Slack, Window: section.Retry.Window.D()},
+		Quota: quotaBounds(section.Quota), Memory: heldLimits(p.file.Memory, section.Held),
 	})
 	ready := http.NewServeMux()
 	ready.Handle("/", p.gateway.ReadyHandler())
-	if _, err := p.ln.serve(part.Ready, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdle}); err != nil {
+	if _, err := p.ln.serve(section.Ready, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout}); err != nil {
 		return err
 	}
 	var err error
-	p.Callers, err = p.ln.serve(part.Callers, &http.Server{
-		Handler: p.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: maxHeader,
+	p.Callers, err = p.ln.serve(section.Callers, &http.Server{
+		Handler: p.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: gateway.ConnContext,
 	})
 	return err
@@ -107,20 +107,20 @@
 
 // requestMemory bounds what is held for one request: a body and an answer, each of the greatest
 // size.
-const requestMemory = 32 << 20
+const maxRequestMemory = 32 << 20
 
 // heldOf returns the bounds of what is held for callers; none without a bound for the process.
-func heldOf(memory strict.Bytes, h config.HeldMemory) membudget.Limits {
+func heldLimits(memory strict.Bytes, h config.HeldMemory) membudget.Limits {
 	total := int64(float64(memory) * h.Share)
-	return membudget.Limits{Total: total, Organisation: int64(float64(total) * h.Organisation), Request: requestMemory}
+	return membudget.Limits{Total: total, Organisation: int64(float64(total) * h.Organisation), Request: maxRequestMemory}
 }
 
-func quotaOf(q config.Quota) quota.Bounds {
+func quotaBounds(q config.Quota) quota.Bounds {
 	return quota.Bounds{Window: q.Window.D(), Overshoot: q.Overshoot, Slack: q.Slack}
 }
 
 func apiServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdle}
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout}
 }
 
 // drainGateway serves all that can end in time until callers are sent elsewhere. After that it takes
@@ -133,10 +133,10 @@
 	ctx, cancel := context.WithTimeout(ctx, grace)
 	defer cancel()
 	p.gateway.Drain(end)
-	wait.For(ctx, settle)
+	wait.For(ctx, drainSettleTime)
 	p.gateway.Finish(end)
 	for p.gateway.Streams() > 0 && ctx.Err() == nil {
-		wait.For(ctx, streamsEvery)
+		wait.For(ctx, streamPollInterval)
 	}
 	p.ln.shutdown(ctx)
 	if n := p.gateway.Active(); n > 0 {
--- a/app/listen.go
+++ b/app/listen.go
@@ -63,7 +63,7 @@
 }
 
 // links serves the links of other processes.
-func (l *listeners) links(addr string, h http.Handler) (string, error) {
+func (l *listeners) serveLinks(addr string, h http.Handler) (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle(wire.Path, h)
 	return l.serve(addr, &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second})
--- a/app/run.go
+++ b/app/run.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	operators, err := config.ReadToken(p.file.Tokens.Operators)
+	operatorToken, err := config.ReadToken(p.file.Tokens.Operators)
 	if err != nil {
 		return err
 	}
@@ -77,64 +77,64 @@
 	if err := p.startEntry(entry.Config{Token: token, TLS: clientTLS}); err != nil {
 		return err
 	}
-	return p.startOperators(operators)
+	return p.startOperators(operatorToken)
 }
 
 func (p *Process) startControl(c control.Config) error {
-	part := p.file.Control
-	if part == nil {
+	section := p.file.Control
+	if section == nil {
 		return nil
 	}
 	c.Name, c.Zone, c.Log = p.file.Name, p.file.Zone, p.log
-	c.Members, c.Dir, c.QuotaBounds = part.Members, p.file.Data, quotaOf(part.Quota)
-	c.UpgradeAfter, c.Zones = part.Upgrade.AfterOrDefault(), p.file.Zones
-	c.ColdBounds = warmup.Bounds{Overshoot: part.Cold.Overshoot, Slack: part.Cold.Slack}
+	c.Members, c.Dir, c.QuotaBounds = section.Members, p.file.Data, quotaBounds(section.Quota)
+	c.UpgradeAfter, c.Zones = section.Upgrade.AfterOrDefault(), p.file.Zones
+	c.ColdBounds = warmup.Bounds{Overshoot: section.Cold.Overshoot, Slack: section.Cold.Slack}
 	c.ParseTable = platform.ParseTable
-	if part.Discovery != nil {
-		discovered(&c, part)
+	if section.Discovery != nil {
+		setDiscovery(&c, section)
 	}
 	var err error
 	if p.control, err = control.Start(c); err != nil {
 		return err
 	}
-	if p.Links[config.RoleControl], err = p.ln.links(part.Links, p.control.Handler()); err != nil || part.API == "" {
+	if p.Links[config.RoleControl], err = p.ln.serveLinks(section.Links, p.control.Handler()); err != nil || section.API == "" {
 		return err
 	}
-	_, err = p.ln.serve(part.API, apiServer(platform.ControlHandler(p.control, portOf(part.API))))
+	_, err = p.ln.serve(section.API, apiServer(platform.ControlHandler(p.control, portOf(section.API))))
 	return err
 }
 
 func (p *Process) startAgent(c agent.Config) error {
-	part := p.file.Agent
-	if part == nil {
+	section := p.file.Agent
+	if section == nil {
 		return nil
 	}
-	c.Name, c.Zone, c.Log = part.Server, p.file.Zone, p.log
-	c.Engine, c.Service = part.Engine, part.Service
+	c.Name, c.Zone, c.Log = section.Server, p.file.Zone, p.log
+	c.Engine, c.Service = section.Engine, section.Service
 	p.agent = agent.Start(c)
 	var err error
-	p.Links[config.RoleAgent], err = p.ln.links(part.Links, p.agent.Handler())
+	p.Links[config.RoleAgent], err = p.ln.serveLinks(section.Links, p.agent.Handler())
 	return err
 }
 
 func (p *Process) startEntry(c entry.Config) error {
-	part := p.file.Entry
-	if part == nil {
+	section := p.file.Entry
+	if section == nil {
 		return nil
 	}
 	c.Name, c.Zone, c.Log = p.file.Name, p.file.Zone, p.log
-	c.Upstream, c.Peers, c.Platform = part.Upstream, part.Peers, part.Platform
+	c.Upstream, c.Peers, c.Platform = section.Upstream, section.Peers, section.Platform
 	if p.file.Data != "" {
 		c.SettingsFile = spread.NewFile(p.file.Data)
 	}
 	p.entry = entry.Start(c)
 	var err error
-	if part.Links != "" {
-		if p.Links[config.RoleEntry], err = p.ln.links(part.Links, p.entry.Handler()); err != nil {
+	if section.Links != "" {
+		if p.Links[config.RoleEntry], err = p.ln.serveLinks(section.Links, p.entry.Handler()); err != nil {
 			return err
 		}
 	}
-	p.Callers, err = p.ln.serve(part.Callers, caller.NewServer(caller.Handler(p.entry, p.log, caller.BodyTimeout)))
+	p.Callers, err = p.ln.serve(section.Callers, caller.NewServer(caller.Handler(p.entry, p.log, caller.BodyTimeout)))
 	return err
 }
 
--- a/app/watch.go
+++ b/app/watch.go
@@ -14,14 +14,14 @@
 
 // watchEvery is the time between two looks at the settings file, which may
 // change without a signal.
-const watchEvery = 2 * time.Second
+const watchInterval = 2 * time.Second
 
 // Watch takes changes of the settings file until the context ends: at a signal,
 // and when its content changes. It starts from the content that the process was
 // started with: the file may have changed since. A file with a fault changes
 // nothing.
 func (p *Process) Watch(ctx context.Context, path string, last []byte, changed <-chan os.Signal) {
-	t := time.NewTicker(watchEvery)
+	t := time.NewTicker(watchInterval)
 	defer t.Stop()
 	for {
 		select {
