--- a/app/dev.go
+++ b/app/dev.go
@@ -24,14 +24,15 @@
 // DevOptions are the flags of the dev command.
 type DevOptions struct {
 	Listen, OperatorListen string
-	// TokenTime is the time between tokens of the stand-in engines.
+	// TokenTime is the time between two tokens of a stand-in engine.
 	TokenTime time.Duration
-	// PrefillRate is their prefill rate in tokens a second.
+	// PrefillRate is the prefill rate of a stand-in engine in tokens per second.
 	PrefillRate float64
-	// Entries is the number of entries; 1 if zero. Only the first listens at
-	// Listen, the others at free ports.
+	// Entries is the number of entries; zero means one. The first listens at
+	// Listen, the others listen at free ports.
 	Entries int
-	// BodyTimeout is how long a caller's body may take; the usual if zero.
+	// BodyTimeout bounds the time for reading a caller's body; zero means
+	// caller.BodyTimeout.
 	BodyTimeout time.Duration
 	Log         *slog.Logger
 }
@@ -40,8 +41,8 @@
 	return cmp.Or(o.BodyTimeout, caller.BodyTimeout)
 }
 
-// Dev is every role in one process with stand-ins for what is outside. The
-// roles talk over the same links as in a fleet.
+// Dev runs every role in one process, with stand-ins for the engines, the
+// services and the platform. The roles communicate over links, as in a fleet.
 type Dev struct {
 	opts     DevOptions
 	ctx      context.Context
@@ -53,13 +54,14 @@
 	agents   map[string]*devAgent
 	entries  []*devEntry
 	control  *control.Control
-	// Callers are the callers' addresses of the entries, and Operators the
-	// operators' address.
-	Callers   []string
+	// Callers holds the address for callers of each entry.
+	Callers []string
+	// Operators is the address for operators.
 	Operators string
 }
 
-// devAgent is an agent with its own listener, so that it can be killed.
+// devAgent is an agent with a listener of its own, so that it can be killed
+// alone.
 type devAgent struct {
 	conf agent.Config
 	addr string
@@ -76,7 +78,7 @@
 	a.proc = agent.Start(a.conf)
 	addr, err := a.ln.serveLinks(a.addr, a.proc.Handler())
 	for try := 0; err != nil && try < maxRebinds; try++ {
-		// An outgoing connection may have taken the port of a killed agent.
+		// An outgoing connection may use the port of the killed agent.
 		time.Sleep(rebindInterval)
 		addr, err = a.ln.serveLinks(a.addr, a.proc.Handler())
 	}
@@ -84,13 +86,13 @@
 	return err
 }
 
-// Tries to open a listener at an address that was in use before.
+// Attempts to listen again at the address of a killed agent.
 const (
 	maxRebinds     = 20
 	rebindInterval = 100 * time.Millisecond
 )
 
-// now returns the agent that runs now.
+// current returns the agent that runs now; nil before the first start.
 func (a *devAgent) current() *agent.Agent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,7 +104,7 @@
 	a.current().Close()
 }
 
-// devEntry is an entry with its own listener.
+// devEntry is an entry with a listener of its own.
 type devEntry struct {
 	ln   listeners
 	proc *entry.Entry
@@ -113,22 +115,25 @@
 	e.ln.close()
 }
 
-// The tokens that dev lets callers in with.
+// Tokens and the model in the settings of dev.
 const (
+	// The tokens of callers, one for each class.
 	DevDeskToken   = "dev-desk"
 	DevReviewToken = "dev-review"
 	DevScreenToken = "dev-screening"
-	DevModel       = "assist"
+	// DevModel is the model that the stand-in engines serve.
+	DevModel = "assist"
 )
 
-// devServers are the stand-in backend servers and their pools.
+// devServers lists the stand-in backend servers and their roles.
 var devServers = []struct{ name, role string }{
 	{"prefill-1", settings.RolePrefill}, {"prefill-2", settings.RolePrefill},
 	{"decode-1", settings.RoleDecode}, {"decode-2", settings.RoleDecode},
 	{"broker-1", settings.RoleService}, {"broker-2", settings.RoleService}, {"broker-3", settings.RoleService},
 }
 
-// StartDev starts it all and waits until the entries are ready.
+// StartDev starts all roles and stand-ins and waits until every entry is ready
+// and connected to every agent.
 func StartDev(ctx context.Context, o DevOptions) (*Dev, error) {
 	d := &Dev{
 		opts: o, engines: map[string]*standin.Engine{}, services: map[string]*standin.Service{}, agents: map[string]*devAgent{},
@@ -184,7 +189,7 @@
 	return out
 }
 
-// startServer starts a stand-in server and the agent beside it.
+// startServer starts a stand-in backend server and its agent.
 func (d *Dev) startServer(name, role string) error {
 	c := agent.Config{Name: name, Zone: "dev", Log: d.opts.Log, AssumeNewClaimGroup: true}
 	if role == settings.RoleService {
@@ -210,7 +215,7 @@
 	if err := a.start(d); err != nil {
 		return err
 	}
-	a.conf.AssumeNewClaimGroup = false // a voter that restarts has to recover
+	a.conf.AssumeNewClaimGroup = false // a restarted voter has to recover its votes
 	return nil
 }
 
@@ -229,7 +234,8 @@
 	return err
 }
 
-// firstSettings makes the first change of the settings, as an operator would.
+// applyFirstSettings makes the first change of the settings, as an operator
+// would.
 func (d *Dev) applyFirstSettings(ctx context.Context) error {
 	v := devValues{Agents: map[string]string{}, Desk: settings.HashToken(DevDeskToken),
 		Review: settings.HashToken(DevReviewToken), Screen: settings.HashToken(DevScreenToken)}
@@ -251,7 +257,7 @@
 	}
 }
 
-// waitReady waits until each entry serves and has a link to each agent.
+// waitReady waits until every entry is ready and connected to every agent.
 func (d *Dev) waitReady(ctx context.Context) error {
 	for _, e := range d.entries {
 		for {
@@ -286,7 +292,7 @@
 	return operator.Handler(operator.Options{Processes: roles, Control: d.control, Log: d.opts.Log, ExtraRoutes: d.addActionRoute})
 }
 
-// Hints writes what to try next.
+// Hints writes to w the addresses and some commands to try.
 func (d *Dev) Hints(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `ledgepin dev: every role in this process, with stand-in engines
 callers    http://%[1]s
@@ -303,14 +309,15 @@
 	return err
 }
 
-// Drain waits for the work in progress.
+// Drain drains the entries: they refuse new requests, and Drain waits until the
+// requests in progress have ended or ctx is done.
 func (d *Dev) Drain(ctx context.Context) {
 	for _, e := range d.entries {
 		e.proc.Drain(ctx)
 	}
 }
 
-// Close ends everything.
+// Close stops all roles and stand-ins at once.
 func (d *Dev) Close() {
 	d.cancel()
 	for _, e := range d.entries {
--- a/app/dev_actions.go
+++ b/app/dev_actions.go
@@ -11,7 +11,8 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// faults adds the operator call that breaks things on purpose.
+// addActionRoute adds the operators' route that runs actions on the stand-in
+// servers.
 func (d *Dev) addActionRoute(r *echo.Echo) {
 	r.POST("/v1/standins/:name/:action", func(c echo.Context) error {
 		if err := d.RunAction(c.Param("name"), c.Param("action")); err != nil {
@@ -21,9 +22,10 @@
 	})
 }
 
-// RunAction does something to a server: kill, restart, stall and unstall its
-// engine or service, kill-agent, restart-agent and drain-agent beside it, or
-// let it leave and return in the platform's list.
+// RunAction runs an action on the stand-in server of that name. On an engine:
+// kill, restart, stall and unstall; on a service: kill; on the agent of either:
+// kill-agent, restart-agent and drain-agent; in the platform's list of servers:
+// leave and return. It returns a fault.NotFound for other names and actions.
 func (d *Dev) RunAction(name, action string) error {
 	do := d.engineAction(name, action)
 	if do == nil {
@@ -35,7 +37,8 @@
 	return do()
 }
 
-// engineAction returns what an action does to an engine or a service.
+// engineAction returns the function of an action on an engine or a service, nil
+// if there is none.
 func (d *Dev) engineAction(name, action string) func() error {
 	e, s := d.engines[name], d.services[name]
 	switch {
@@ -53,7 +56,8 @@
 	return nil
 }
 
-// serverAction returns what an action does to the agent or the VM.
+// serverAction returns the function of an action on an agent or a VM, nil if
+// there is none.
 func (d *Dev) serverAction(name, action string) func() error {
 	a := d.agents[name]
 	if a == nil {
@@ -72,13 +76,13 @@
 	return nil
 }
 
-// Engine returns a stand-in engine by name.
+// Engine returns the stand-in engine of that name, nil if there is none.
 func (d *Dev) Engine(name string) *standin.Engine { return d.engines[name] }
 
-// Service returns a stand-in service by name.
+// Service returns the stand-in service of that name, nil if there is none.
 func (d *Dev) Service(name string) *standin.Service { return d.services[name] }
 
-// Held lists the requests that hold memory at any stand-in engine.
+// Held lists the requests that hold memory at a stand-in engine.
 func (d *Dev) Held() []string {
 	var out []string
 	for _, e := range d.engines {
@@ -87,23 +91,24 @@
 	return out
 }
 
-// Votes tells whether the agent beside a server votes on claims.
+// Votes reports whether the agent of a server votes on claims.
 func (d *Dev) Votes(name string) bool {
 	dump, ok := d.agents[name].current().Dump().(agent.Dump)
 	return ok && dump.Voting
 }
 
-// KillEntry ends an entry at once, by its number.
+// KillEntry ends the entry with index n of Callers at once.
 func (d *Dev) KillEntry(n int) { d.entries[n].kill() }
 
-// Ready tells whether the agent that runs now can serve.
+// Ready reports whether the current agent is ready and, if not, why.
 func (a *devAgent) Ready() (bool, string) { return a.current().Ready() }
 
-// Dump returns the state of the agent.
+// Dump returns the state of the current agent.
 func (a *devAgent) Dump() any { return a.current().Dump() }
 
-// Collect brings the gauges of the agent up to date.
+// Collect updates the gauges of the current agent.
 func (a *devAgent) Collect() { a.current().Collect() }
 
-// Explain returns the agent's record of a request.
+// Explain returns the current agent's decision record of a request and reports
+// whether there is one.
 func (a *devAgent) Explain(id string) (decision.Record, bool) { return a.current().Explain(id) }
--- a/app/dev_tree.go
+++ b/app/dev_tree.go
@@ -2,6 +2,7 @@
 
 import "text/template"
 
+// devTree is the template of the settings tree of dev.
 var devTree = template.Must(template.New("tree").Parse(`fleet:
   models:
     assist: {version: "1", weights: 16GB, kv_per_token: 1KB}
@@ -50,8 +51,10 @@
             broker-3: {agent: "{{index .Agents "broker-3"}}"}
 `))
 
-// devValues fill the template.
+// devValues holds the values of devTree.
 type devValues struct {
+	// Desk, Review and Screen are the hashes of the tokens.
 	Desk, Review, Screen string
-	Agents               map[string]string
+	// Agents holds the address of the agent of each server.
+	Agents map[string]string
 }
--- a/app/doc.go
+++ b/app/doc.go
@@ -1,3 +1,4 @@
-// Package app puts the roles of one process together: from its settings file,
-// or, for the dev command, all roles with stand-ins around them.
+// Package app starts the roles of one process: those of its settings file or,
+// for the dev command, all roles together with stand-ins for the engines, the
+// services and the platform.
 package app
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -21,39 +21,45 @@
 	"github.com/ledgepin/ledgepin/strict"
 )
 
-// Times of the listeners of a gateway and of control's API.
+// Limits of the listeners and of the drain of a gateway, of control's API and of
+// its replicated log.
 const (
 	headerTimeout = 10 * time.Second
-	// callerIdle is longer than any idle time that operators set: a connection
-	// that a caller may still use is never closed.
+	// callerIdleTimeout is longer than any idle timeout that operators set, so
+	// that a connection that a caller may still use is never closed.
 	callerIdleTimeout = 2 * time.Minute
 	apiIdleTimeout    = 30 * time.Second
-	// maxHeader bounds the head of a request in bytes.
+	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 16 << 10
-	// settle is how long a draining gateway still takes streams: until callers
-	// are sent elsewhere. What it takes later might not end in the grace time.
+	// drainSettleTime is the time for which a draining gateway still accepts
+	// streams: until callers are sent to other gateways. A stream that it
+	// accepted later might not end within the grace time.
 	drainSettleTime = 2900 * time.Millisecond
-	// graceMargin is what is left of the grace time to end in order, and
-	// finishMargin what is left before that when the last request ends.
+	// graceMargin is the end of the grace time, reserved for an orderly shutdown.
+	// finishMargin is the time between the deadline of the last request and that
+	// shutdown.
 	graceMargin  = 400 * time.Millisecond
 	finishMargin = 300 * time.Millisecond
-	// streamsEvery is how often a draining gateway looks whether streams run.
+	// streamPollInterval is the interval at which a draining gateway checks for
+	// streams in progress.
 	streamPollInterval = 50 * time.Millisecond
-	// memoryShare is the part of the memory that the heap may fill.
+	// heapShare is the share of the process's memory that the Go runtime may use.
 	heapShare = 0.7
-	// Times of the replicated log where replicas are some milliseconds apart.
+	// minElectionTimeout and heartbeatInterval are the times of the replicated log
+	// for replicas with some milliseconds of network latency between them.
 	minElectionTimeout = 600 * time.Millisecond
 	heartbeatInterval  = 120 * time.Millisecond
 )
 
-// limitMemory tells the collector how much memory the process has.
+// limitMemory sets the soft memory limit of the Go runtime, if the settings file
+// bounds the memory of the process.
 func limitMemory(f *config.File) {
 	if f.Memory > 0 {
 		debug.SetMemoryLimit(int64(float64(f.Memory) * heapShare))
 	}
 }
 
-// discovered fills in how replicas find each other by seeds.
+// setDiscovery configures a replica that finds the others by seeds.
 func setDiscovery(c *control.Config, section *config.Control) {
 	port := portOf(section.Links)
 	c.Name = section.Links
@@ -64,13 +70,14 @@
 	c.Roles = control.RoleConfig{Protocol: &platform.Protocol, Share: section.Engines.PrefillShare, Lease: section.Engines.OrderLease.D()}
 }
 
-// portOf returns the port of an address that was checked before.
+// portOf returns the port of a validated address.
 func portOf(address string) string {
 	_, port, _ := net.SplitHostPort(address)
 	return port
 }
 
-// withPort returns addresses with another port.
+// withPort returns the addresses with their port replaced, without the addresses
+// that have none.
 func withPort(addresses []string, port string) []string {
 	out := make([]string, 0, len(addresses))
 	for _, a := range addresses {
@@ -105,11 +112,12 @@
 	return err
 }
 
-// requestMemory bounds what is held for one request: a body and an answer, each of the greatest
-// size.
+// maxRequestMemory bounds the memory that is held for one request: a body and an answer, each of
+// the maximum size.
 const maxRequestMemory = 32 << 20
 
-// heldOf returns the bounds of what is held for callers; none without a bound for the process.
+// heldLimits returns the limits of the memory that is held for callers; no limits if the memory of
+// the process is not bounded.
 func heldLimits(memory strict.Bytes, h config.HeldMemory) membudget.Limits {
 	total := int64(float64(memory) * h.Share)
 	return membudget.Limits{Total: total, Organisation: int64(float64(total) * h.Organisation), Request: maxRequestMemory}
@@ -123,10 +131,11 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout}
 }
 
-// drainGateway serves all that can end in time until callers are sent elsewhere. After that it takes
-// no streams, and ends once those under way have ended; until then it goes on to
-// serve short requests, since all gateways may be stopping one after the other.
-// It leaves a part of the grace time to end in order.
+// drainGateway accepts all requests that can end in time until callers are sent
+// to other gateways. After that it refuses streams, and returns once those in
+// progress have ended. Until then it continues to serve short requests, since all
+// gateways may be stopping one after the other. It reserves the end of the
+// grace time for an orderly shutdown.
 func (p *Process) drainGateway(ctx context.Context) {
 	grace := p.file.Drain.D() - graceMargin
 	end := clock.VM.Now().Add(grace - finishMargin)
--- a/app/listen.go
+++ b/app/listen.go
@@ -17,7 +17,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// listeners are the HTTP servers of a process.
+// listeners holds the HTTP servers of a process.
 type listeners struct {
 	log     *slog.Logger
 	tls     *tls.Config
@@ -25,14 +25,16 @@
 	wg      sync.WaitGroup
 }
 
-// shutdown closes the listeners and lets requests in progress end.
+// shutdown closes the listeners and waits until the requests in progress have
+// ended or ctx is done.
 func (l *listeners) shutdown(ctx context.Context) {
 	for _, s := range l.servers {
 		_ = s.Shutdown(ctx)
 	}
 }
 
-// serve opens a listener and returns its address.
+// serve runs srv on a listener at addr and returns the address in use, which has
+// the actual port.
 func (l *listeners) serve(addr string, srv *http.Server) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return out, nil
 }
 
-// connectionLog turns the HTTP server's own messages into events.
+// connectionLog writes the messages of an http.Server as events.
 type connectionLog struct{ log *slog.Logger }
 
 // Write implements io.Writer.
@@ -62,14 +64,16 @@
 	return len(p), nil
 }
 
-// links serves the links of other processes.
+// serveLinks serves the links from other processes with h and returns the address
+// in use.
 func (l *listeners) serveLinks(addr string, h http.Handler) (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle(wire.Path, h)
 	return l.serve(addr, &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second})
 }
 
-// close ends all listeners and their connections.
+// close closes all listeners and their connections, and waits for the servers to
+// return.
 func (l *listeners) close() {
 	for _, s := range l.servers {
 		_ = s.Close()
--- a/app/orders_test.go
+++ b/app/orders_test.go
@@ -14,8 +14,9 @@
 	"github.com/ledgepin/ledgepin/cli"
 )
 
-// TestNewVersion changes a model's version and adds an adapter in the settings.
-// All engines must come to have both, while every request is answered.
+// TestNewModelVersionReachesAllEngines changes a model's version and adds an
+// adapter in the settings. All engines must load both, and every request must
+// succeed in the meantime.
 func TestNewModelVersionReachesAllEngines(t *testing.T) {
 	d := startDev(t, app.DevOptions{})
 	cl := client(d, app.DevDeskToken)
--- a/app/run.go
+++ b/app/run.go
@@ -19,7 +19,8 @@
 	"github.com/ledgepin/ledgepin/warmup"
 )
 
-// Process is a running process with the roles of its settings file.
+// Process is a running process with the roles of its settings file. Its addresses
+// are those in use; an address is empty if the process has no such listener.
 type Process struct {
 	file    *config.File
 	log     *slog.Logger
@@ -28,13 +29,14 @@
 	entry   *entry.Entry
 	agent   *agent.Agent
 	control *control.Control
-	// Callers, Operators and Links are the addresses in use; Links by role.
+	// Callers, Operators and Metrics are the addresses of the HTTP listeners.
 	Callers, Operators, Metrics string
-	Links                       map[string]string
+	// Links holds the address for links by role.
+	Links map[string]string
 }
 
-// Start starts the roles of a settings file. On an error nothing is left
-// running.
+// Start starts the roles of a settings file. On an error it stops those that it
+// has started.
 func Start(f *config.File, log *slog.Logger) (*Process, error) {
 	p := &Process{file: f, log: log, Links: map[string]string{}}
 	p.ln.log = log
@@ -162,8 +164,8 @@
 	return err
 }
 
-// Drain takes no new work and waits for the work in progress, at most for the
-// drain time of the settings file.
+// Drain drains the roles one after the other and waits for the requests in
+// progress, at most for the drain time of the settings file.
 func (p *Process) Drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.file.Drain.D())
 	defer cancel()
@@ -179,7 +181,7 @@
 	}
 }
 
-// Close ends the process at once.
+// Close stops all roles and listeners at once.
 func (p *Process) Close() {
 	if p.entry != nil {
 		p.entry.Close()
--- a/app/tls_test.go
+++ b/app/tls_test.go
@@ -30,7 +30,8 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// writeCert writes a certificate for loopback that is its own CA.
+// writeCert writes a self-signed certificate for 127.0.0.1, which is also its CA,
+// and its key, and returns their files.
 func writeCert(t *testing.T, dir, name string) (cert, key string) {
 	t.Helper()
 	priv, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -50,7 +51,9 @@
 	return cert, key
 }
 
-// TestTLSAndTokens runs control and an entry with TLS and tokens.
+// TestTLSAndTokensAreRequired runs control and an entry with TLS and tokens. They
+// must work together, and refuse operators and links with another CA, with another
+// token or without TLS.
 func TestTLSAndTokensAreRequired(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := writeCert(t, dir, "fleet")
--- a/app/watch.go
+++ b/app/watch.go
@@ -12,14 +12,14 @@
 	"github.com/ledgepin/ledgepin/fault"
 )
 
-// watchEvery is the time between two looks at the settings file, which may
+// watchInterval is the interval at which the settings file is read, since it may
 // change without a signal.
 const watchInterval = 2 * time.Second
 
-// Watch takes changes of the settings file until the context ends: at a signal,
-// and when its content changes. It starts from the content that the process was
-// started with: the file may have changed since. A file with a fault changes
-// nothing.
+// Watch applies changes of the settings file at path until ctx is done. It reads
+// the file at intervals and at each signal on changed. It compares the file with
+// last, the content that the process was started with, since the file may have
+// changed in the meantime. An invalid file is logged and changes nothing.
 func (p *Process) Watch(ctx context.Context, path string, last []byte, changed <-chan os.Signal) {
 	t := time.NewTicker(watchInterval)
 	defer t.Stop()
@@ -39,7 +39,7 @@
 	}
 }
 
-// reload takes what may change while the process runs: the seeds.
+// reload applies the settings that may change while the process runs: the seeds.
 func (p *Process) reload(path string, data []byte) {
 	f, err := config.Parse(path, data)
 	if err != nil {
