--- a/app/dev.go
+++ b/app/dev.go
@@ -21,7 +21,8 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// DevOptions are the flags of the dev command.
+// DevOptions configures a Dev: by the flags of the dev command and, in tests, by
+// Entries and BodyTimeout.
 type DevOptions struct {
 	Listen, OperatorListen string
 	// TokenTime is the time between two tokens of a stand-in engine.
@@ -272,6 +273,8 @@
 	return nil
 }
 
+// pause waits for one interval of a poll; it returns the error of ctx if that is
+// done.
 func pause(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
