--- a/entry/agents.go
+++ b/entry/agents.go
@@ -176,19 +176,19 @@
 	if f == nil {
 		return
 	}
-	parts, err := f.asm.Accept(c.Attempt, stream.Chunk{Index: c.Index, Text: c.Text, Finish: c.Finish})
+	chunks, err := f.asm.Accept(c.Attempt, stream.Chunk{Index: c.Index, Text: c.Text, Finish: c.Finish})
 	if err != nil {
 		e.perform(now, e.core.Failed(now, f.decodeServer, c.ID, fault.StepStream, err.Error(), true))
 		return
 	}
-	for _, p := range parts {
-		f.countToken(now, p)
-		if !f.enqueue(p) {
+	for _, chunk := range chunks {
+		f.countToken(now, chunk)
+		if !f.enqueue(chunk) {
 			e.abort(now, f, fault.CallerSlow)
 			return
 		}
-		if p.Finish != "" {
-			f.finishReason = p.Finish
+		if chunk.Finish != "" {
+			f.finishReason = chunk.Finish
 			e.perform(now, e.core.Done(now, c.ID, f.timePerToken()))
 			e.endFlow(f, nil)
 			return
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -29,9 +29,9 @@
 	Request engine.Request
 }
 
-// maxBufferedParts is the number of parts that are buffered for a slow reader. A caller that
+// maxBufferedChunks is the number of parts that are buffered for a slow reader. A caller that
 // falls further behind is disconnected.
-const maxBufferedParts = 256
+const maxBufferedChunks = 256
 
 // Flow is an open model request and the stream of its answer to the caller.
 type Flow struct {
@@ -42,9 +42,9 @@
 	key          string
 	req          engine.Request
 	asm          stream.Assembler
-	parts        chan stream.Chunk
+	chunks       chan stream.Chunk
 	once         sync.Once
-	err          error // set before parts is closed
+	err          error // set before chunks is closed
 	decodeServer string
 	finishReason string // of the last part
 	claim        *onceClaim
@@ -70,9 +70,9 @@
 // after the last part.
 func (f *Flow) Next(ctx context.Context) (stream.Chunk, error) {
 	select {
-	case p, ok := <-f.parts:
+	case c, ok := <-f.chunks:
 		if ok {
-			return p, nil
+			return c, nil
 		}
 		if f.err != nil {
 			return stream.Chunk{}, f.err
@@ -95,9 +95,9 @@
 }
 
 // enqueue queues a part for the caller. It reports false if the queue is full.
-func (f *Flow) enqueue(p stream.Chunk) bool {
+func (f *Flow) enqueue(c stream.Chunk) bool {
 	select {
-	case f.parts <- p:
+	case f.chunks <- c:
 		return true
 	default:
 		return false
@@ -108,13 +108,13 @@
 func (f *Flow) close(err error) {
 	f.once.Do(func() {
 		f.err = err
-		close(f.parts)
+		close(f.chunks)
 	})
 }
 
 // countToken updates the times by which the latency targets are measured.
-func (f *Flow) countToken(now time.Time, p stream.Chunk) {
-	if p.Finish != "" {
+func (f *Flow) countToken(now time.Time, c stream.Chunk) {
+	if c.Finish != "" {
 		return
 	}
 	if f.tokenCount == 0 {
@@ -193,7 +193,7 @@
 
 func (e *Entry) newFlow(in ModelRequest, req router.Request) *Flow {
 	f := &Flow{
-		ID: req.ID, entry: e, req: in.Request, parts: make(chan stream.Chunk, maxBufferedParts),
+		ID: req.ID, entry: e, req: in.Request, chunks: make(chan stream.Chunk, maxBufferedChunks),
 		class: req.Class, arrivedAt: clock.VM.Now(), promptTokens: req.Tokens,
 		target: e.store.Tree().Fleet.Classes[req.Class],
 	}
--- a/entry/once.go
+++ b/entry/once.go
@@ -92,10 +92,10 @@
 	if err := json.Unmarshal(a.Body, &r); err != nil {
 		return nil, fault.New(fault.OutcomeUnknown, fault.StepClaim, "", "the request has run, but its answer was too long to be recorded")
 	}
-	f := &Flow{ID: id, parts: make(chan stream.Chunk, 2), promptTokens: EstimateTokens(in.Request.Text())}
-	f.parts <- stream.Chunk{Text: r.Text}
-	f.parts <- stream.Chunk{Index: r.Tokens, Finish: r.Finish}
-	close(f.parts)
+	f := &Flow{ID: id, chunks: make(chan stream.Chunk, 2), promptTokens: EstimateTokens(in.Request.Text())}
+	f.chunks <- stream.Chunk{Text: r.Text}
+	f.chunks <- stream.Chunk{Index: r.Tokens, Finish: r.Finish}
+	close(f.chunks)
 	return f, nil
 }
 
