--- a/caller/answer.go
+++ b/caller/answer.go
@@ -96,15 +96,15 @@
 func readAnswer(next func() (stream.Chunk, error)) (text, finish string, tokens int, err error) {
 	var all strings.Builder
 	for {
-		p, err := next()
+		chunk, err := next()
 		if errors.Is(err, io.EOF) && finish != "" {
 			return all.String(), finish, tokens, nil
 		}
 		if err != nil {
 			return "", "", 0, err
 		}
-		all.WriteString(p.Text)
-		if finish = p.Finish; finish == "" {
+		all.WriteString(chunk.Text)
+		if finish = chunk.Finish; finish == "" {
 			tokens++
 		}
 	}
@@ -136,7 +136,7 @@
 	ctx := a.c.Request().Context()
 	started := false
 	for {
-		p, err := a.flow.Next(ctx)
+		chunk, err := a.flow.Next(ctx)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -150,7 +150,7 @@
 			started = true
 			a.writeHead()
 		}
-		if err := a.writePart(p); err != nil {
+		if err := a.writeChunk(chunk); err != nil {
 			return nil // the caller disconnected or is too slow; Cancel cleans up
 		}
 	}
@@ -163,25 +163,25 @@
 	a.c.Response().WriteHeader(http.StatusOK)
 }
 
-func (a *answer) writePart(p stream.Chunk) error {
+func (a *answer) writeChunk(chunk stream.Chunk) error {
 	out := a.envelope("text_completion")
 	ch := choice{}
 	if a.chat {
 		out.Object = "chat.completion.chunk"
-		ch.Delta = &message{Content: p.Text}
-		if p.Index == 0 {
+		ch.Delta = &message{Content: chunk.Text}
+		if chunk.Index == 0 {
 			ch.Delta.Role = "assistant"
 		}
 	} else {
-		ch.Text = &p.Text
+		ch.Text = &chunk.Text
 	}
-	if p.Finish != "" {
-		ch.Finish = &p.Finish
+	if chunk.Finish != "" {
+		ch.Finish = &chunk.Finish
 	} else {
 		a.tokens++
 	}
 	out.Choices = []choice{ch}
-	if err := a.writeEvent(out); err != nil || p.Finish == "" {
+	if err := a.writeEvent(out); err != nil || chunk.Finish == "" {
 		return err
 	}
 	return a.writeEnd(out.Object)
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -106,11 +106,11 @@
 	return in, nil
 }
 
-func (in *completionRequest) chat(r *engine.Request) error {
-	if len(in.Messages) == 0 || len(in.Messages) > maxTurns {
+func (c *completionRequest) chat(r *engine.Request) error {
+	if len(c.Messages) == 0 || len(c.Messages) > maxTurns {
 		return badRequest("messages must have 1 to %d entries", maxTurns)
 	}
-	for i, t := range in.Messages {
+	for i, t := range c.Messages {
 		text, err := contentText(t.Content)
 		if err != nil {
 			return badRequest("messages[%d].content: %v", i, err)
@@ -146,21 +146,21 @@
 	return b.String(), nil
 }
 
-func (in *completionRequest) prompt(r *engine.Request) error {
-	if json.Unmarshal(in.Prompt, &r.Prompt) != nil || r.Prompt == "" {
+func (c *completionRequest) prompt(r *engine.Request) error {
+	if json.Unmarshal(c.Prompt, &r.Prompt) != nil || r.Prompt == "" {
 		return badRequest("prompt: want a non-empty text")
 	}
 	return nil
 }
 
-func (in *completionRequest) sampling() (engine.Sampling, error) {
+func (c *completionRequest) sampling() (engine.Sampling, error) {
 	s := engine.Sampling{
-		Temperature: in.Temperature, TopP: in.TopP, Seed: in.Seed,
-		PresencePenalty: in.PresencePenalty, FrequencyPenalty: in.FrequencyPenalty,
+		Temperature: c.Temperature, TopP: c.TopP, Seed: c.Seed,
+		PresencePenalty: c.PresencePenalty, FrequencyPenalty: c.FrequencyPenalty,
 	}
-	limit := in.MaxTokens
-	if in.MaxCompletion != nil {
-		limit = in.MaxCompletion
+	limit := c.MaxTokens
+	if c.MaxCompletion != nil {
+		limit = c.MaxCompletion
 	}
 	if limit != nil {
 		if *limit < 1 {
@@ -168,29 +168,29 @@
 		}
 		s.MaxTokens = *limit
 	}
-	if in.Temperature != nil && (*in.Temperature < 0 || *in.Temperature > 2) {
+	if c.Temperature != nil && (*c.Temperature < 0 || *c.Temperature > 2) {
 		return s, badRequest("temperature must be from 0 to 2")
 	}
-	if in.TopP != nil && (*in.TopP < 0 || *in.TopP > 1) {
+	if c.TopP != nil && (*c.TopP < 0 || *c.TopP > 1) {
 		return s, badRequest("top_p must be from 0 to 1")
 	}
-	stop, err := in.stop()
+	stop, err := c.stop()
 	s.Stop = stop
 	return s, err
 }
 
 const maxStops = 4
 
-func (in *completionRequest) stop() ([]string, error) {
-	if len(in.Stop) == 0 || string(in.Stop) == "null" {
+func (c *completionRequest) stop() ([]string, error) {
+	if len(c.Stop) == 0 || string(c.Stop) == "null" {
 		return nil, nil
 	}
 	var one string
-	if json.Unmarshal(in.Stop, &one) == nil {
+	if json.Unmarshal(c.Stop, &one) == nil {
 		return []string{one}, nil
 	}
 	var list []string
-	if json.Unmarshal(in.Stop, &list) != nil || len(list) > maxStops {
+	if json.Unmarshal(c.Stop, &list) != nil || len(list) > maxStops {
 		return nil, badRequest("stop: want a text or a list of at most %d texts", maxStops)
 	}
 	return list, nil
