--- a/wire/hello.go
+++ b/wire/hello.go
@@ -88,8 +88,8 @@
 }
 
 // Error returns the peer's name, its build and both ranges.
-func (a *VersionError) Error() string {
-	return fmt.Sprintf("%.64q (build %q) speaks version %v, this process %v", a.Name, a.Build, a.Theirs, a.Ours)
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("%.64q (build %q) speaks version %v, this process %v", e.Name, e.Build, e.Theirs, e.Ours)
 }
 
 // negotiate returns the highest version that both ends support.
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -102,11 +102,11 @@
 
 // peerKey returns a key for a peer and its range. The port of an accepted peer differs each
 // time, so its name distinguishes the processes of a host.
-func peerKey(s side, addr string, a *VersionError) string {
+func peerKey(s side, addr string, e *VersionError) string {
 	if s == accepted {
-		addr = host(addr) + " " + a.Name[:min(len(a.Name), maxKeyName)]
+		addr = host(addr) + " " + e.Name[:min(len(e.Name), maxKeyName)]
 	}
-	return fmt.Sprintf("%s %v", addr, a.Theirs)
+	return fmt.Sprintf("%s %v", addr, e.Theirs)
 }
 
 func host(addr string) string {
