--- a/entry/agents.go
+++ b/entry/agents.go
@@ -170,7 +170,7 @@
 	return l
 }
 
-// handleChunk delivers a part of an answer to its caller.
+// handleChunk delivers a chunk of an answer to its caller.
 func (e *Entry) handleChunk(now time.Time, c *wire.Chunk) {
 	f := e.flows[c.Req]
 	if f == nil {
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -29,7 +29,7 @@
 	Request engine.Request
 }
 
-// maxBufferedChunks is the number of parts that are buffered for a slow reader. A caller that
+// maxBufferedChunks is the number of chunks that are buffered for a slow reader. A caller that
 // falls further behind is disconnected.
 const maxBufferedChunks = 256
 
@@ -46,7 +46,7 @@
 	once         sync.Once
 	err          error // set before chunks is closed
 	decodeServer string
-	finishReason string // of the last part
+	finishReason string // of the last chunk
 	claim        *onceClaim
 	// arrive passes the request to the router; nil once that is done.
 	arrive       func(now time.Time)
@@ -66,8 +66,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Next returns the next part of the answer, or the error that ended the request; io.EOF
-// after the last part.
+// Next returns the next chunk of the answer, or the error that ended the request; io.EOF
+// after the last chunk.
 func (f *Flow) Next(ctx context.Context) (stream.Chunk, error) {
 	select {
 	case c, ok := <-f.chunks:
@@ -94,7 +94,7 @@
 	}
 }
 
-// enqueue queues a part for the caller. It reports false if the queue is full.
+// enqueue queues a chunk for the caller. It reports false if the queue is full.
 func (f *Flow) enqueue(c stream.Chunk) bool {
 	select {
 	case f.chunks <- c:
@@ -104,7 +104,7 @@
 	}
 }
 
-// close ends the stream of parts. Only the first call has an effect.
+// close ends the stream of chunks. Only the first call has an effect.
 func (f *Flow) close(err error) {
 	f.once.Do(func() {
 		f.err = err
@@ -112,7 +112,7 @@
 	})
 }
 
-// countToken updates the times by which the latency targets are measured.
+// countToken updates the token count and the times that are compared with the latency targets.
 func (f *Flow) countToken(now time.Time, c stream.Chunk) {
 	if c.Finish != "" {
 		return
--- a/entry/leaving.go
+++ b/entry/leaving.go
@@ -39,7 +39,7 @@
 }
 
 // applyVMList marks the servers on leaving VMs as leaving. A VM that is not on the
-// list has no effect: the list lags behind, and a server that has gone has no link.
+// list has no effect: the list lags behind, and a server that has ended has no link.
 func (e *Entry) applyVMList(vms []vmlist.VM) {
 	var names []string
 	for _, vm := range vms {
