--- a/caller/answer_test.go
+++ b/caller/answer_test.go
@@ -11,7 +11,7 @@
 
 // A caller that had received its complete answer and repeated the request with the same key
 // got 409 instead of the answer, about once in a hundred times on a busy machine: the answer
-// was returned with its last part, before a majority of the voters had recorded the outcome.
+// was returned with its last chunk, before a majority of the voters had recorded the outcome.
 // Streamed answers were not affected, since they wait for the end of the flow.
 
 // TestAnswerIsReturnedOnlyAfterFlowEnds guards against this: an answer in one response must not
@@ -37,7 +37,7 @@
 }
 
 // TestBrokenFlowIsNoAnswer guards against a partial answer: an error of the flow, or its end
-// before the last part, must be an error.
+// before the last chunk, must be an error.
 func TestBrokenFlowIsNoAnswer(t *testing.T) {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF} {
 		chunks := 1
