--- a/agent/agent.go
+++ b/agent/agent.go
@@ -45,8 +45,9 @@
 	// orphanTimeout is how long entries may resume the runs that the engine had
 	// when the agent restarted.
 	orphanTimeout = time.Second
-	initialLease  = 5 * time.Second
-	maxRecords    = 2048
+	// initialLease is the lease time until the agent has received the settings.
+	initialLease = 5 * time.Second
+	maxRecords   = 2048
 )
 
 // job is the work of one attempt for an entry: a prefill, a decode or a call.
--- a/agent/call.go
+++ b/agent/call.go
@@ -12,7 +12,7 @@
 	"github.com/ledgepin/ledgepin/wire"
 )
 
-// callTTL is how long an agent at least remembers the calls that it has sent, so
+// callTTL is the minimum time for which an agent remembers the calls that it has sent, so
 // that a repeated message does not cause a second call.
 const callTTL = time.Minute
 
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// requestCopy requests the next part of the grants of a member, or closes the link after the
+// requestCopy requests the next batch of the grants of a member, or closes the link after the
 // last one.
 func (a *Agent) requestCopy(v *claim.Voter, name string, l *wire.Link) {
 	a.mu.Lock()
--- a/agent/id_fuzz_test.go
+++ b/agent/id_fuzz_test.go
@@ -10,7 +10,7 @@
 )
 
 // FuzzID parses arbitrary texts as IDs of attempts at an engine, and checks that each ID from
-// engineID parses to the attempt that it was made from.
+// engineID parses to the attempt that it was built from.
 func FuzzID(f *testing.F) {
 	for _, seed := range []string{"a.1", "a.b.4294967295", ".", "a.-1", "a.4294967296", ""} {
 		f.Add(seed, uint32(3))
--- a/agent/links.go
+++ b/agent/links.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// pullTimeout is how long a pull may take before another entry is asked.
+// pullTimeout is how long a pull may take before the settings are requested from another entry.
 const pullTimeout = 500 * time.Millisecond
 
 // pullSettings requests the settings from an entry that announced a newer revision, unless
