--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -241,7 +241,7 @@
 }
 
 // TestSilentConnectionsAreNotUsedAgain guards against requests lost one by one on kept
-// connections that have all gone silent without a reset, while new ones work: once one times
+// connections that are all broken without a reset, while new ones work: once one times
 // out, all idle connections to the server must be closed.
 func TestSilentConnectionsAreNotUsedAgain(t *testing.T) {
 	var silent atomic.Bool
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -54,7 +54,7 @@
 }
 
 // maxRequestIDs bounds the IDs that a connection remembers; after as many requests it is
-// replaced, so one request in 64 pays for a new connection.
+// replaced, so one request in 64 waits for a new connection to open.
 const maxRequestIDs = 64
 
 // canCarry reports whether the answer to r can be distinguished from all earlier ones.
@@ -96,7 +96,7 @@
 	return err == nil && quiet
 }
 
-// resetTime is the time in which a server that has too many connections resets a
+// resetTime is the time within which a server that has too many connections resets a
 // new one.
 const resetTime = 1500 * time.Microsecond
 
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -32,8 +32,8 @@
 	// Server is the incarnation of the server; its requests end with it (Pool.EndIncarnation).
 	Server string
 	// Admitted reports that the request was counted against the server's limit. Cleanup reports
-	// that it frees what the server keeps for a request that has ended: it is sent regardless
-	// of the limit, and counted later.
+	// that this request frees what the server keeps for one that has ended: it is sent
+	// regardless of the limit, and counted later.
 	Admitted, Cleanup bool
 	// NewConnection requires a new connection, since a kept one may break in a way
 	// that leaves it unknown whether the server has received the request.
@@ -72,8 +72,8 @@
 	return errors.As(err, &e) && e.Sent
 }
 
-// WithheldByGateway reports whether err says nothing about the server, because the gateway
-// itself did not send the request.
+// WithheldByGateway reports whether the gateway itself did not send the request, so that err is
+// no evidence about the server.
 func WithheldByGateway(err error) bool {
 	return errors.Is(err, ErrFull) || errors.Is(err, ErrLimited) || errors.Is(err, ErrPaused) || errors.Is(err, ErrEnded)
 }
@@ -129,7 +129,7 @@
 	resp, err := a.exchange(headers)
 	if err != nil {
 		if len(c.requestIDs) > 1 && (isTimeout(err) || errors.Is(ctx.Err(), context.DeadlineExceeded)) {
-			// Kept connections may have gone silent together, while new ones work.
+			// All kept connections may be broken without a reset, while new ones work.
 			p.CloseIdle(r.Address)
 		}
 		a.finish(false)
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -43,7 +43,7 @@
 // ErrLimited is returned if the rate limit that the server reported is used up.
 var ErrLimited = errors.New("backend: the server's rate limit is used up")
 
-// ErrPaused is returned while the server has asked for a pause.
+// ErrPaused is returned during a pause that the server has requested.
 var ErrPaused = errors.New("backend: the server has asked for a pause")
 
 // ErrEnded is returned if the request ended before it was sent: its caller disconnected, or
@@ -110,7 +110,8 @@
 }
 
 // reserveConnection counts a new connection to a server and reports whether the limit allows
-// it. An idle connection that may not carry the request is closed to make room.
+// it. If the limit is reached, an idle connection that may not carry the request is closed, so
+// that a new one is allowed.
 func (p *Pool) reserveConnection(r *Request) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
