--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -103,12 +103,12 @@
 	"A stream broke off and is requested again from after the last event that its caller has. last is the ID of that event, resumed says that the caller had a part of the answer before this request, and moved counts how often the run continued at another engine with its KV cache.",
 	"Many from one server: check the server.")
 
-// EventOutOfOrder is logged when an engine sends another event of a stream than the expected one.
+// EventOutOfOrder is logged when an engine sends an event of a stream other than the expected one.
 var EventOutOfOrder = define("LP2022", warn, "event out of order",
 	"An engine sent an event that its caller already has (repeated), or left out events before it (missing). The caller does not get it. After missing events the stream is requested again from after the last event, or cut off where its route does not allow that. due is the number that was expected, came the ID that was received, last the last event that the caller has. One line for each stream of an engine; a metric counts the events.",
 	"Many from one server: it resumes streams at another event than it is asked for.")
 
-// PrefillWasted is logged when a prompt was read and its answer was not completed.
+// PrefillWasted is logged when a prompt was prefilled but its answer was not completed.
 var PrefillWasted = define("LP2015", info, "prompt read for nothing",
 	"An engine read a prompt, and the run that needed it did not end well; the cause gives the reason.",
 	"Many of `refused`: check the decode engines. Many of `engine lost`: check the engines that the line names.")
@@ -132,7 +132,7 @@
 	"A request broke off at a server, and just after that the server was not reachable or had restarted. The content identifies the request: lines with the same content are about the same request, also under other IDs and at other gateways. made is the number of tokens of the answer that were generated.",
 	"One content at several servers with made 0: the request itself may crash them. Many contents at one server: it crashed with all that it ran.")
 
-// ContentBlocked is logged when requests with a content are refused from now on.
+// ContentBlocked is logged when a request content becomes blocked: requests with it are refused.
 var ContentBlocked = define("LP2019", warn, "content blocked",
 	"Three servers have crashed while they ran requests with this content, and it has not completed since. It is refused with 503 at all gateways for ten minutes after the last crash.",
 	"Find the caller by the lines LP2018 with the same content, and what in its request crashes the servers.")
@@ -141,7 +141,7 @@
 var ServerRestarted = define("LP2020", info, "server restarted",
 	"A later incarnation of a server has reported itself, so the earlier one has ended with all its state: its requests broke off, and its connections were closed.", noAction)
 
-// ServerLimit is logged when a server reports a limit of its requests, or its end.
+// ServerLimit is logged when a server reports a limit of requests per second, or lifts it.
 var ServerLimit = define("LP2023", warn, "limit of a server",
 	"A server reports in its answers the requests per second that it accepts from all gateways together (rate), or has ended that limit (ended). by says whether this gateway received it from the server itself or from another process, sent is the number of requests that this gateway sent to the server while the limit was in force.",
 	"One server: it is overloaded; check it. Many of one service: the service needs more servers.")
