--- a/wire/dialer.go
+++ b/wire/dialer.go
@@ -24,7 +24,7 @@
 
 // Dialer opens the links of a process. A peer with incompatible versions stays incompatible
 // until one of the two processes is replaced, so it is dialled again only after a backoff:
-// until then Dial returns the last error at once, and callers may retry at their own pace.
+// until then Dial returns the last error at once, so that callers may retry at any interval.
 // Other failures are transient and have no backoff. The zero value is ready to use.
 type Dialer struct {
 	// Log receives the log lines of links; it is set before the first use.
--- a/wire/link.go
+++ b/wire/link.go
@@ -74,7 +74,7 @@
 )
 
 // dial opens the connection of a link. It repeats the attempt, since the VM may have been
-// without power when the first packet arrived.
+// powered off when the first packet arrived.
 var dial = sock.Redialer(userTimeout, dialInterval, dialTimeout)
 
 // Dial opens a link to the process at addr, an IP address and port.
--- a/wire/message.go
+++ b/wire/message.go
@@ -315,7 +315,7 @@
 	Addresses []string `cbor:"1,keyasint"`
 	// Gateways is the number of gateways that have a link to the sender.
 	Gateways int `cbor:"2,keyasint"`
-	// Leader is the link address of the leader that the sender knows.
+	// Leader is the link address of the leader; empty if the sender knows none.
 	Leader string `cbor:"3,keyasint,omitempty"`
 	// Cut reports that the sender has no link to a majority of the other replicas.
 	Cut bool `cbor:"4,keyasint,omitempty"`
