--- a/cli/client.go
+++ b/cli/client.go
@@ -107,8 +107,8 @@
 	return fault.New(fault.ByID(p.Code), fault.Step(p.Step), addr, detail)
 }
 
-// callAny calls the addresses in order until one is reachable, leads where the call requires it,
-// and has what is asked for.
+// callAny calls the addresses in order until one is reachable, is the leader if the call requires
+// it, and has the requested item.
 func (t *target) callAny(ctx context.Context, method, path string, in, out any) error {
 	var lastErr error
 	for _, addr := range t.Operator {
--- a/fleet/unknown_fields_test.go
+++ b/fleet/unknown_fields_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestCommandWithUnknownFieldIsRejected guards against applying a command of a newer build only
-// in part: a replica that ignored a field it does not know would diverge from the others.
+// in part: a replica that ignored an unknown field would diverge from the others.
 func TestCommandWithUnknownFieldIsRejected(t *testing.T) {
 	good := changeCommand(t, "b", 1, settingsText(1), settingsText(2))
 	table := map[int]any{1: "t", 9: map[int]any{1: 5, 2: []any{}, 3: []any{}, 4: map[int]any{}, 99: "x"}}
--- a/internal/strictcbor/strictcbor.go
+++ b/internal/strictcbor/strictcbor.go
@@ -1,5 +1,5 @@
 // Package strictcbor decodes replicated data and refuses unknown fields, since replicas that
-// skip a field would diverge from those that know it.
+// skip a field would diverge from those that apply it.
 package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
