--- a/operator/evacuate.go
+++ b/operator/evacuate.go
@@ -23,8 +23,8 @@
 	return c.JSON(http.StatusOK, zones)
 }
 
-// evacuate starts or finishes the evacuation of a zone, and answers with the evacuated zones
-// that this replica has seen then.
+// evacuate starts or finishes the evacuation of a zone, and answers with the zones that
+// are evacuated afterwards according to this replica.
 func (s *server) evacuate(c echo.Context, finished bool) error {
 	k, err := s.control()
 	if err != nil {
--- a/operator/upgrade.go
+++ b/operator/upgrade.go
@@ -25,8 +25,8 @@
 	return c.JSON(http.StatusOK, u)
 }
 
-// raise answers with the resulting state: the version was raised, or Holds give the reasons
-// why not.
+// raise answers with the resulting state: the version was raised, or Blockers gives the reasons
+// why it was not.
 func (s *server) raise(c echo.Context) error {
 	k, err := s.control()
 	if err != nil {
