--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -53,7 +53,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := playAll(ctx, o, shape); err != nil {
+	if err := runSeeds(ctx, o, shape); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		stop()
 		os.Exit(1)
@@ -83,8 +83,8 @@
 	}
 }
 
-// playAll plays all seeds. It returns an error if a run breaks a rule.
-func playAll(ctx context.Context, o options, shape soak.Shape) error {
+// runSeeds plays all seeds. It returns an error if a run breaks a rule.
+func runSeeds(ctx context.Context, o options, shape soak.Shape) error {
 	if o.Production != "" {
 		binary, remove, err := buildCommit(ctx, ".", o.Production)
 		if err != nil {
@@ -97,7 +97,7 @@
 	broken := 0
 	for n := range o.Seeds {
 		seed := o.From + uint64(n)
-		h, violations, err := play(ctx, o, shape, seed, false)
+		h, violations, err := runSeed(ctx, o, shape, seed, false)
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 			fmt.Println("   upgrade:", soak.SummarizeUpgrade(h))
 		}
 		if o.Paired {
-			more, err := playPaired(ctx, o, shape, h)
+			more, err := runPaired(ctx, o, shape, h)
 			if err != nil {
 				return err
 			}
@@ -133,10 +133,10 @@
 	return nil
 }
 
-// playPaired repeats a run without an upgrade and prints the share of served requests of both runs,
+// runPaired repeats a run without an upgrade and prints the share of served requests of both runs,
 // during the upgrade and in total. It returns 1 if the repeated run breaks a rule.
-func playPaired(ctx context.Context, o options, shape soak.Shape, upgraded *soak.History) (broken int, err error) {
-	h, violations, err := play(ctx, o, shape, upgraded.Seed, true)
+func runPaired(ctx context.Context, o options, shape soak.Shape, upgraded *soak.History) (broken int, err error) {
+	h, violations, err := runSeed(ctx, o, shape, upgraded.Seed, true)
 	if err != nil {
 		return 0, err
 	}
@@ -153,9 +153,9 @@
 	return min(len(violations), 1), nil
 }
 
-// play plays one seed and keeps its history and logs if a rule is broken. With noUpgrade, no
+// runSeed plays one seed and keeps its history and logs if a rule is broken. With noUpgrade, no
 // process is replaced.
-func play(ctx context.Context, o options, shape soak.Shape, seed uint64, noUpgrade bool) (*soak.History, []soak.Violation, error) {
+func runSeed(ctx context.Context, o options, shape soak.Shape, seed uint64, noUpgrade bool) (*soak.History, []soak.Violation, error) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		return nil, nil, err
--- a/soak/check.go
+++ b/soak/check.go
@@ -198,8 +198,8 @@
 // crossesDisconnect reports whether a KV cache was created just as its caller disconnected. The
 // gateway closes the connection before it has read the name of the KV cache, which it needs to free
 // it, and the engine may have created it already. Such a KV cache expires by itself.
-func crossesDisconnect(left, made time.Duration) bool {
-	return made-left < crossingTime && left-made < crossingTime
+func crossesDisconnect(disconnected, created time.Duration) bool {
+	return created-disconnected < crossingTime && disconnected-created < crossingTime
 }
 
 // disturbed reports whether a process, a server or its link was disturbed in the time before a
--- a/soak/check_events.go
+++ b/soak/check_events.go
@@ -67,8 +67,8 @@
 }
 
 // tail returns what was received of a stream after its last complete event.
-func (q *Request) tail() string {
-	return q.Body[strings.LastIndex("\n\n"+q.Body, "\n\n"):]
+func (r *Request) tail() string {
+	return r.Body[strings.LastIndex("\n\n"+r.Body, "\n\n"):]
 }
 
 // checkRunMemory checks that a run that continues elsewhere uses its own copy. The stand-in engines
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -60,16 +60,16 @@
 	// name is the server's name in all its incarnations.
 	name string
 	zone string
-	// lifeMu is held by the step of a plan that ends and starts the server.
-	lifeMu sync.Mutex
+	// restartMu is held by the step of a plan that ends and starts the server.
+	restartMu sync.Mutex
 
 	mu        sync.Mutex
 	backend   *standin.Backend
 	proxy     *proxy
 	disturber *disturber
 	leaving   bool
-	// born is the start time of the current incarnation in Unix milliseconds.
-	born int64
+	// startMillis is the start time of the current incarnation in Unix milliseconds.
+	startMillis int64
 	// coldUntil is the time until which the server is cold.
 	coldUntil time.Time
 }
@@ -254,12 +254,12 @@
 	}
 	b.SetPace(prefillTime, eventTime, streamEvents)
 	b.SetText(eventText)
-	d := newDisturber(srv.name, cl.incarnations.Load(), cl.rec.countTrouble)
+	d := newDisturber(srv.name, cl.incarnations.Load(), cl.rec.countDisturbance)
 	b.SetMiddleware(d.wrap)
 	if srv.role == "decode" {
 		b.SetSlots(engineSlots)
 	}
-	p, err := newProxy(b.Addr(), cl.rec.countTrouble)
+	p, err := newProxy(b.Addr(), cl.rec.countDisturbance)
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 	cl.backendsMu.Unlock()
 	srv.mu.Lock()
 	srv.backend, srv.proxy, srv.disturber, srv.leaving = b, p, d, false
-	srv.born = max(time.Now().UnixMilli(), srv.born+1)
+	srv.startMillis = max(time.Now().UnixMilli(), srv.startMillis+1)
 	srv.mu.Unlock()
 	return nil
 }
@@ -286,8 +286,8 @@
 func (cl *cluster) restartCrashed(srv *server, crashed *standin.Backend) {
 	cl.wg.Go(func() {
 		time.Sleep(crashRestartDelay)
-		srv.lifeMu.Lock()
-		defer srv.lifeMu.Unlock()
+		srv.restartMu.Lock()
+		defer srv.restartMu.Unlock()
 		if now, _ := srv.current(); now != crashed || cl.closing.Load() {
 			return
 		}
--- a/soak/desk_caller.go
+++ b/soak/desk_caller.go
@@ -143,7 +143,7 @@
 	resp, err := client.Do(req)
 	if !t.Stop() && err == nil {
 		_ = resp.Body.Close()
-		err = errCallerLeft
+		err = errCallerDisconnected
 	}
 	if err != nil {
 		cancel()
@@ -204,7 +204,7 @@
 	}
 	err := r.read(resp.Body)
 	q.Body = string(r.body)
-	if errors.Is(err, errCallerLeft) && timeout.Stop() {
+	if errors.Is(err, errCallerDisconnected) && timeout.Stop() {
 		disconnect()
 	}
 	return err
@@ -246,8 +246,8 @@
 
 // lengthHint returns the caller's estimate of the answer's length in tokens. Most estimates are too
 // low, so that engines fill up.
-func (q *Request) lengthHint() int {
+func (r *Request) lengthHint() int {
 	h := fnv.New32a()
-	_, _ = io.WriteString(h, q.ID)
+	_, _ = io.WriteString(h, r.ID)
 	return streamEvents * eventTokens * (1 + int(h.Sum32()%4)) / 4
 }
--- a/soak/disturber.go
+++ b/soak/disturber.go
@@ -16,14 +16,14 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	active map[Kind]int
-	// countTrouble is called with each disturbance.
-	countTrouble func(what string)
+	// countDisturbance is called with each disturbance.
+	countDisturbance func(what string)
 }
 
-func newDisturber(name string, incarnation int64, countTrouble func(what string)) *disturber {
+func newDisturber(name string, incarnation int64, countDisturbance func(what string)) *disturber {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name)
-	return &disturber{rng: rand.New(rand.NewPCG(h.Sum64(), uint64(incarnation))), active: map[Kind]int{}, countTrouble: countTrouble}
+	return &disturber{rng: rand.New(rand.NewPCG(h.Sum64(), uint64(incarnation))), active: map[Kind]int{}, countDisturbance: countDisturbance}
 }
 
 // add starts or ends a kind of disturbance; several of a kind may overlap.
@@ -77,7 +77,7 @@
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	if choice >= 0 && choice < len(callDisturbances) {
-		d.countTrouble(callDisturbances[choice])
+		d.countDisturbance(callDisturbances[choice])
 	}
 	late := time.Duration(max(d.draw(DisturbCalls, int(maxLateness)), 0))
 	switch choice {
@@ -151,7 +151,7 @@
 	case choice == 4: // with Content-Length
 		sw.contentLength, sw.breakAt = length, -1
 	}
-	d.countTrouble("broken stream")
+	d.countDisturbance("broken stream")
 	defer sw.finish()
 	next.ServeHTTP(sw, r)
 }
--- a/soak/events.go
+++ b/soak/events.go
@@ -33,8 +33,8 @@
 	delivered int
 }
 
-// errCallerLeft ends the reading of a caller that disconnects.
-var errCallerLeft = errors.New("soak: the caller disconnected")
+// errCallerDisconnected ends the reading of a caller that disconnects.
+var errCallerDisconnected = errors.New("soak: the caller disconnected")
 
 // Sizes of reads, for small and for big events.
 const (
@@ -52,7 +52,7 @@
 		}
 		n, err := r.Read(buf[:size])
 		if n > 0 && !e.feed(buf[:n]) {
-			return errCallerLeft
+			return errCallerDisconnected
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/soak/fault_injector.go
+++ b/soak/fault_injector.go
@@ -127,8 +127,8 @@
 
 func (f *faultInjector) runGatewayStep(ctx context.Context, step Step) {
 	p := f.cluster.processes[gatewayName(step.Target)]
-	p.lifeMu.Lock()
-	defer p.lifeMu.Unlock()
+	p.restartMu.Lock()
+	defer p.restartMu.Unlock()
 	switch step.Kind {
 	case KillGateway:
 		p.stop(syscall.SIGKILL)
@@ -169,8 +169,8 @@
 		f.diskMu.Lock()
 		defer f.afterMember(ctx, name, f.diskMu.Unlock)
 	}
-	p.lifeMu.Lock()
-	defer p.lifeMu.Unlock()
+	p.restartMu.Lock()
+	defer p.restartMu.Unlock()
 	switch step.Kind {
 	case KillControl:
 		p.stop(syscall.SIGKILL)
@@ -193,8 +193,8 @@
 	var all []*process
 	for n := range f.cluster.shape.Controls {
 		p := f.cluster.processes[controlName(n)]
-		p.lifeMu.Lock()
-		defer p.lifeMu.Unlock()
+		p.restartMu.Lock()
+		defer p.restartMu.Unlock()
 		all = append(all, p)
 	}
 	var wg sync.WaitGroup
@@ -254,8 +254,8 @@
 // replaceServer ends a server and starts another incarnation of it. A planned replacement is
 // reported first, and the server keeps serving for a while.
 func (f *faultInjector) replaceServer(ctx context.Context, step Step, srv *server) {
-	srv.lifeMu.Lock()
-	defer srv.lifeMu.Unlock()
+	srv.restartMu.Lock()
+	defer srv.restartMu.Unlock()
 	if step.Kind == DrainServer {
 		srv.setLeaving(true)
 		b, _ := srv.current()
--- a/soak/history.go
+++ b/soak/history.go
@@ -214,8 +214,8 @@
 	change(&r.h)
 }
 
-// countTrouble counts an injected disturbance.
-func (r *recorder) countTrouble(what string) {
+// countDisturbance counts an injected disturbance.
+func (r *recorder) countDisturbance(what string) {
 	r.update(func(h *History) {
 		if h.Troubles == nil {
 			h.Troubles = map[string]int{}
--- a/soak/pauses.go
+++ b/soak/pauses.go
@@ -83,7 +83,7 @@
 	b.SetSelfReport(pauseAnswers(step.Seed))
 	sleep(ctx, step.For)
 	b.SetSelfReport(nil)
-	f.rec.countTrouble("asked for pauses")
+	f.rec.countDisturbance("asked for pauses")
 }
 
 // pauseAnswers returns a function that gives what the answers of a server report.
@@ -114,8 +114,8 @@
 // heartbeats report that it is ready; then it is replaced.
 func (f *faultInjector) reportLeaving(ctx context.Context, step Step) {
 	srv := f.cluster.servers[step.Target]
-	srv.lifeMu.Lock()
-	defer srv.lifeMu.Unlock()
+	srv.restartMu.Lock()
+	defer srv.restartMu.Unlock()
 	b, _ := srv.current()
 	some := step.Seed%2 == 0
 	b.SetSelfReport(func(r *http.Request) standin.SelfReport {
@@ -127,7 +127,7 @@
 	sleep(ctx, step.For)
 	srv.kill()
 	_ = f.cluster.startServer(srv)
-	f.rec.countTrouble("said that it leaves")
+	f.rec.countDisturbance("said that it leaves")
 }
 
 // newSelfReportArrival converts an arrival for the checks.
--- a/soak/process.go
+++ b/soak/process.go
@@ -30,8 +30,8 @@
 	// operators is the address of the process's listener for operators.
 	operators string
 
-	// lifeMu is held by the step of a plan that ends and starts the process.
-	lifeMu sync.Mutex
+	// restartMu is held by the step of a plan that ends and starts the process.
+	restartMu sync.Mutex
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -18,20 +18,20 @@
 	holdRequests, holdAnswers bool
 	delay                     time.Duration
 	// duplicate sends an answer again in place of the next one.
-	duplicate    bool
-	countTrouble func(what string)
-	conns        map[net.Conn]bool
-	closed       bool
-	cond         *sync.Cond
+	duplicate        bool
+	countDisturbance func(what string)
+	conns            map[net.Conn]bool
+	closed           bool
+	cond             *sync.Cond
 }
 
 // newProxy returns a proxy that forwards to target.
-func newProxy(target string, countTrouble func(what string)) (*proxy, error) {
+func newProxy(target string, countDisturbance func(what string)) (*proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{ln: ln, target: target, countTrouble: countTrouble, conns: map[net.Conn]bool{}}
+	p := &proxy{ln: ln, target: target, countDisturbance: countDisturbance, conns: map[net.Conn]bool{}}
 	p.cond = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
@@ -92,7 +92,7 @@
 	go p.copy(in, out, func(data []byte) []byte { la.write(data); return data }, true)
 	p.copy(out, in, func(data []byte) []byte {
 		if duplicate := la.take(); len(duplicate) > 0 && p.drawDuplicate() {
-			p.countTrouble("answer that came again")
+			p.countDisturbance("answer that came again")
 			_, _ = in.Write(duplicate)
 		}
 		return data
--- a/soak/server_limits.go
+++ b/soak/server_limits.go
@@ -106,7 +106,7 @@
 		}
 	}
 	b.SetLimit(noLimit)
-	f.rec.countTrouble("named limit")
+	f.rec.countDisturbance("named limit")
 }
 
 func noLimit() []string { return nil }
--- a/soak/upgrade.go
+++ b/soak/upgrade.go
@@ -63,8 +63,8 @@
 func (f *faultInjector) replaceGateway(ctx context.Context, step Step, n int) {
 	p := f.cluster.processes[step.Process]
 	sleep(ctx, step.For)
-	p.lifeMu.Lock()
-	defer p.lifeMu.Unlock()
+	p.restartMu.Lock()
+	defer p.restartMu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
@@ -88,8 +88,8 @@
 		defer f.diskMu.Unlock()
 	}
 	func() {
-		p.lifeMu.Lock()
-		defer p.lifeMu.Unlock()
+		p.restartMu.Lock()
+		defer p.restartMu.Unlock()
 		if ctx.Err() != nil {
 			return
 		}
