--- a/standin/stream.go
+++ b/standin/stream.go
@@ -9,11 +9,11 @@
 // caller has, until the run ends or is stopped. It calls ended when the run has ended, which may
 // be long after its stream has.
 func (b *Backend) stream(w http.ResponseWriter, r *http.Request, fault Fault, kv KVCache, ended func()) {
-	m := b.currentBehaviour()
+	behaviour := b.currentBehaviour()
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get(b.headers.LastEventID))
 	if kv.Events > 0 {
-		switch m.ContinueFrom {
+		switch behaviour.ContinueFrom {
 		case AfterGenerated:
 			from = kv.Events
 		case AtGenerated:
@@ -27,26 +27,26 @@
 	run := b.start(r.Header.Get(b.headers.RequestID), body, from, ended)
 	if fault == LoseAnswer {
 		reset(w)
-		run.abandon(m.Linger)
+		run.abandon(behaviour.Linger)
 		return
 	}
-	out, err := b.openStream(w, r, m.Unframed)
+	out, err := b.openStream(w, r, behaviour.Unframed)
 	if err != nil {
 		run.abandon(0)
 		return
 	}
-	writer := &eventWriter{run: run, out: out, behaviour: m, next: from + 1}
+	writer := &eventWriter{run: run, out: out, behaviour: behaviour, next: from + 1}
 	if fault == CutStream {
 		writer.cutAt = from + 3
 	}
 	complete := false
 	defer func() {
 		if !complete {
-			run.abandon(m.Linger) // even if the middleware aborts the handler by a panic
+			run.abandon(behaviour.Linger) // even if the middleware aborts the handler by a panic
 		}
 	}()
 	complete = writer.write()
-	out.end(complete, m.Reset)
+	out.end(complete, behaviour.Reset)
 }
 
 // openStream opens the answer to a streaming request.
