--- a/lease/table.go
+++ b/lease/table.go
@@ -168,18 +168,18 @@
 }
 
 // Reserve leases a slot, or returns the reason why not.
-func (t *Table) Reserve(now time.Time, a Request) Reason {
+func (t *Table) Reserve(now time.Time, req Request) Reason {
 	switch {
 	case t.recovering:
 		return Recovery
 	case t.leaving:
 		return Leaving
-	case t.leases[a.ID] != nil:
+	case t.leases[req.ID] != nil:
 		return Duplicate
-	case len(t.leases)+a.Headroom >= t.slots:
+	case len(t.leases)+req.Headroom >= t.slots:
 		return Full
 	}
-	e := &heldLease{id: a.ID, owner: a.Owner, keep: a.Keep, timerAt: now.Add(a.Hold), timerIndex: -1}
+	e := &heldLease{id: req.ID, owner: req.Owner, keep: req.Keep, timerAt: now.Add(req.Hold), timerIndex: -1}
 	t.add(now, e)
 	t.timers.Push(e)
 	return None
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -50,45 +50,45 @@
 // Accept adds a chunk and returns the chunks that are now in order. It drops
 // chunks that are late, repeated or of another attempt, and returns ErrGap if a
 // chunk can't be buffered.
-func (a *Assembler) Accept(attempt uint32, p Chunk) ([]Chunk, error) {
-	if attempt != a.attempt || a.done || p.Index < a.next {
+func (a *Assembler) Accept(attempt uint32, c Chunk) ([]Chunk, error) {
+	if attempt != a.attempt || a.done || c.Index < a.next {
 		a.dropped++
 		return nil, nil
 	}
-	if p.Index > a.next {
-		return nil, a.buffer(p)
+	if c.Index > a.next {
+		return nil, a.buffer(c)
 	}
-	out := []Chunk{p}
-	a.append(p)
+	out := []Chunk{c}
+	a.append(c)
 	for !a.done {
-		q, ok := a.buffered[a.next]
+		next, ok := a.buffered[a.next]
 		if !ok {
 			break
 		}
 		delete(a.buffered, a.next)
-		a.append(q)
-		out = append(out, q)
+		a.append(next)
+		out = append(out, next)
 	}
 	return out, nil
 }
 
-func (a *Assembler) buffer(p Chunk) error {
+func (a *Assembler) buffer(c Chunk) error {
 	if a.buffered == nil {
 		a.buffered = map[int]Chunk{}
 	}
 	if len(a.buffered) >= MaxBuffered {
 		return ErrGap
 	}
-	a.buffered[p.Index] = p
+	a.buffered[c.Index] = c
 	return nil
 }
 
-func (a *Assembler) append(p Chunk) {
-	if p.Finish != "" {
+func (a *Assembler) append(c Chunk) {
+	if c.Finish != "" {
 		a.done = true
 		return
 	}
-	a.text.WriteString(p.Text)
+	a.text.WriteString(c.Text)
 	a.next++
 }
 
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -91,12 +91,12 @@
 func (j *Journal) snapshotPath() string { return filepath.Join(j.dir, "control.snapshot") }
 
 // openLog opens the log for appending and truncates a torn tail.
-func (j *Journal) openLog(size int64, cut bool) error {
+func (j *Journal) openLog(size int64, truncate bool) error {
 	file, err := j.open(j.logPath())
 	if err != nil {
 		return fault.Wrap(err, fault.JournalFailed, fault.StepJournal, j.logPath())
 	}
-	if cut {
+	if truncate {
 		err = file.Truncate(size)
 		if err == nil {
 			err = file.Sync()
--- a/warmup/broker.go
+++ b/warmup/broker.go
@@ -49,10 +49,10 @@
 // Broker leases one replica's shares of cold servers to gateways. A Broker isn't safe for
 // concurrent use.
 type Broker struct {
-	// quietUntil is when it may grant leases: an earlier process of the replica may have granted
+	// noGrantsUntil is when it may grant leases: an earlier process of the replica may have granted
 	// some just before this one started.
-	quietUntil time.Time
-	leases     map[string]*grantedLease
+	noGrantsUntil time.Time
+	leases        map[string]*grantedLease
 }
 
 type grantedLease struct {
@@ -62,7 +62,7 @@
 
 // NewBroker returns the broker of a replica that starts at now.
 func NewBroker(now time.Time) *Broker {
-	return &Broker{quietUntil: now.Add(LeaseTTL + reassignDelay), leases: map[string]*grantedLease{}}
+	return &Broker{noGrantsUntil: now.Add(LeaseTTL + reassignDelay), leases: map[string]*grantedLease{}}
 }
 
 // ColdServer is a cold server with the gateways that may get its lease.
@@ -85,7 +85,7 @@
 		}
 		held[l.holder]++
 	}
-	if now.Before(b.quietUntil) {
+	if now.Before(b.noGrantsUntil) {
 		return nil
 	}
 	var out []Grant
