--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// runSeeds plays all seeds. It returns an error if a run breaks a rule.
+// runSeeds performs the runs of all seeds. It returns an error if a run breaks a rule.
 func runSeeds(ctx context.Context, o options, shape soak.Shape) error {
 	if o.Production != "" {
 		binary, remove, err := buildCommit(ctx, ".", o.Production)
@@ -153,8 +153,8 @@
 	return min(len(violations), 1), nil
 }
 
-// runSeed plays one seed and keeps its history and logs if a rule is broken. With noUpgrade, no
-// process is replaced.
+// runSeed performs the run of one seed and keeps its history and logs if a rule is broken. With
+// noUpgrade, no process is replaced.
 func runSeed(ctx context.Context, o options, shape soak.Shape, seed uint64, noUpgrade bool) (*soak.History, []soak.Violation, error) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
--- a/soak/check.go
+++ b/soak/check.go
@@ -15,11 +15,11 @@
 	drainBound = 2500 * time.Millisecond
 	// disconnectBound is how long work may continue after its caller disconnected.
 	disconnectBound = 1500 * time.Millisecond
-	// inForceBound is the time after its acknowledgement by which a table must be in force at a
-	// connected gateway.
+	// inForceBound is the time by which a table must be in force at a connected gateway, counted
+	// from the acknowledgement of the table.
 	inForceBound = 2500 * time.Millisecond
-	// undisturbedTime is how long a process must have been undisturbed before time bounds apply to
-	// it.
+	// undisturbedTime is how long a process must have been undisturbed for time bounds to apply
+	// to it.
 	undisturbedTime = 4 * time.Second
 	// crossingTime is how long an engine's answer and the close of its connection may take to
 	// arrive.
--- a/soak/cold_servers.go
+++ b/soak/cold_servers.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The rate that a plain server can handle for a time after a restart, as the table has it, and the
-// bounds of what it may receive, as control's settings have them.
+// coldTime is how long a plain server is cold after a restart, and coldRate the number of requests
+// per second that it can serve then, as the table states them. coldOvershoot and coldSlack bound
+// the requests that it may receive, as the settings of control state them.
 const (
 	coldTime      = 3 * time.Second
 	coldRate      = 4.0
@@ -15,8 +16,8 @@
 	coldSlack     = 5
 )
 
-// coldSettings are the settings by which control judges the load of cold servers, with the bounds
-// that checkCold uses.
+// coldSettings are the settings by which control limits the requests to cold servers, with the
+// bounds that checkCold uses.
 var coldSettings = fmt.Sprintf("  cold: {overshoot: %g, slack: %d}\n", coldOvershoot, coldSlack)
 
 // ColdSpan is a time in which a server was cold and had reported it since its first report.
@@ -45,7 +46,7 @@
 	return max(time.Until(s.coldUntil).Milliseconds(), 0)
 }
 
-// checkCold checks that no cold server receives more requests in any second than it can handle,
+// checkCold checks that no cold server receives more requests in any second than it can serve,
 // from all gateways together, unless its link was disturbed.
 func checkCold(h *History) []string {
 	var out []string
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// evacuationBound is the time after its acknowledgement by which an evacuation must be in force at
-// a connected gateway.
+// evacuationBound is the time by which an evacuation must be in force at a connected gateway,
+// counted from the acknowledgement of the evacuation.
 const evacuationBound = 2500 * time.Millisecond
 
 // evacuate evacuates the far zone for a time. The order that ends the evacuation is sent until
@@ -43,8 +43,8 @@
 }
 
 // checkEvacuations checks that no request reaches an evacuated zone later than evacuationBound
-// after the acknowledgement, until the order is withdrawn. Disturbed gateways are not excused: they
-// have to ask before they send.
+// after the acknowledgement, until the order is withdrawn. Disturbed gateways are not excused: a
+// gateway that was suspended waits for the current state from control before it sends.
 func checkEvacuations(h *History) []string {
 	var out []string
 	for _, e := range h.Evacuations {
--- a/soak/fault_injector.go
+++ b/soak/fault_injector.go
@@ -10,7 +10,7 @@
 	"github.com/ledgepin/ledgepin/standin"
 )
 
-// faultInjector runs a plan.
+// faultInjector runs the steps of a plan.
 type faultInjector struct {
 	cluster *cluster
 	rec     *recorder
--- a/soak/run.go
+++ b/soak/run.go
@@ -32,8 +32,8 @@
 	PlainTexts bool
 }
 
-// Run plays a run and returns its history. An error means that the run could not be played, not
-// that a rule was broken.
+// Run performs a run and returns its history. An error means that the run could not be performed,
+// not that a rule was broken.
 func Run(ctx context.Context, o Options) (*History, error) {
 	plan, order, path := o.plan()
 	rec := &recorder{start: time.Now()}
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestShortRun plays a short run with real processes: a graceful stop, a kill of all replicas of
+// TestShortRun performs a short run with real processes: a graceful stop, a kill of all replicas of
 // control during a change of the table, an invalid table, a server that leaves while a link is
 // reset, and kills of a server and a gateway. Calls and streams of engines are disturbed while
 // callers reconnect.
@@ -97,7 +97,7 @@
 // treeAsProduction selects the tree's own binary as the production build.
 const treeAsProduction = "the tree's own"
 
-// runShort plays a short run with a fixed plan and fails the test if a rule is broken.
+// runShort performs a short run with a fixed plan and fails the test if a rule is broken.
 func runShort(t *testing.T, o Options) (h *History, broken []Violation, dir string) {
 	t.Helper()
 	o.Dir, o.Seed, o.Shape = t.TempDir(), 1, DefaultShape
--- a/soak/upgrade_plan.go
+++ b/soak/upgrade_plan.go
@@ -34,7 +34,7 @@
 // UpgradePaths are the paths of an upgrade.
 var UpgradePaths = []string{fullPath, partialPath, downgradePath, repeatPath}
 
-// Shares of replacements that start on an empty disk and that are hit by a kill.
+// Shares of replacements that start on an empty disk, and of those whose process is killed.
 const (
 	emptyDiskShare = 0.25
 	killShare      = 0.15
