--- a/replay/engine.go
+++ b/replay/engine.go
@@ -15,11 +15,11 @@
 type engine struct {
 	id      string
 	pattern *Pattern
-	// prompts are the queued prompts. The first is being computed, with remaining tokens.
+	// prompts are the queued prompts. The first is being prefilled, with remaining tokens.
 	prompts   []*request
 	remaining float64
 	runs      []*run
-	// reserved is the memory reserved for prompts that are being computed, in tokens.
+	// reserved is the memory reserved for prompts that are being prefilled, in tokens.
 	reserved map[*request]float64
 }
 
@@ -52,7 +52,7 @@
 	e.prompts = append(e.prompts, r)
 }
 
-// stepPrefills computes prompts for a time and returns the completed ones.
+// stepPrefills prefills prompts for a time and returns the completed ones.
 func (e *engine) stepPrefills(d time.Duration) []*request {
 	var done []*request
 	tokens := e.pattern.ReadRate * milliseconds(d)
--- a/replay/pattern.go
+++ b/replay/pattern.go
@@ -22,7 +22,7 @@
 	// Slots is the maximum number of runs of an engine, KVTokens its memory.
 	Slots    int `yaml:"slots"`
 	KVTokens int `yaml:"kv_tokens"`
-	// ReadRate is the number of prompt tokens that an engine computes per millisecond. Step is the
+	// ReadRate is the number of prompt tokens that an engine prefills per millisecond. Step is the
 	// time in which each run generates one token, in milliseconds, and StepPerRun what each run of
 	// the engine adds to it.
 	ReadRate   float64 `yaml:"read_rate"`
@@ -40,7 +40,7 @@
 	// Deadline is the time after its first try from which a caller no longer retries.
 	Deadline time.Duration `yaml:"deadline"`
 	// Organisations is the number of organisations, all with the same limit. The first sends
-	// Hot.Times its usual load for the time of Hot.
+	// Hot.Times its usual load during the time of Hot.
 	Organisations int `yaml:"organisations"`
 	Hot           Hot `yaml:"hot"`
 	// Load are the arrivals, in consecutive phases.
--- a/replay/progress.go
+++ b/replay/progress.go
@@ -54,7 +54,7 @@
 			s.finishRun(e, done.req)
 		}
 		for _, preemptedRun := range preempted {
-			// Its prompt is computed again at the same engine; its first token counts as late.
+			// Its prompt is prefilled again at the same engine; its first token counts as late.
 			s.result.Wasted += int(preemptedRun.memory)
 			s.result.Preempted++
 			preemptedRun.req.firstTokenAt = preemptedRun.req.firstTryAt.Add(s.pattern.Deadline)
--- a/replay/result.go
+++ b/replay/result.go
@@ -14,7 +14,7 @@
 	// Refused counts the refused tries, Preempted the runs that an engine preempted because its
 	// memory was full.
 	Refused, Preempted int
-	// Wasted counts the prompt tokens that were computed in vain or repeatedly.
+	// Wasted counts the prompt tokens that were prefilled in vain or repeatedly.
 	Wasted int
 	// Median and P99 are the 50th and 99th percentile of the time to the first token of the served
 	// requests.
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -108,7 +108,7 @@
 	// ended reports whether the server has ended.
 	ended bool
 	// keptPrompts are the tokens of the prompt parts that the engine keeps, by ID; readTokens
-	// counts all prompt tokens that it has read.
+	// counts all prompt tokens that it has prefilled.
 	keptPrompts map[string]int
 	readTokens  int
 	// orders are all received orders, orderCount counts the executed ones, and fence is their
--- a/standin/behaviour.go
+++ b/standin/behaviour.go
@@ -9,7 +9,7 @@
 // engines are known to break the contract. The zero value writes each event at once, drops a run
 // when its connection closes, and answers copy calls without delay.
 type Behaviour struct {
-	// Event returns the whole text of an event of the answer to a request body, including its end;
+	// Event returns the complete text of an event of the answer to a request body, including its end;
 	// nil for PlainEvent. Texts may contain anything, even what looks like a field or the end of
 	// an event.
 	Event func(body string, n int) string
--- a/standin/kept.go
+++ b/standin/kept.go
@@ -14,7 +14,7 @@
 	platformKeptPath = "/-/kv-list"
 )
 
-// ReadTokens returns the number of prompt tokens that the engine has read.
+// ReadTokens returns the number of prompt tokens that the engine has prefilled.
 func (b *Backend) ReadTokens() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,8 +28,8 @@
 	b.keptPrompts = nil
 }
 
-// keepPrompt keeps the prompt of a request and counts the tokens that had to be read. If fetched
-// is set, the KV cache came from another engine and nothing was read.
+// keepPrompt keeps the prompt of a request and counts the tokens that had to be prefilled. If
+// fetched is set, the KV cache came from another engine and nothing was prefilled.
 func (b *Backend) keepPrompt(r *http.Request, fetched bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/kvcache.go
+++ b/standin/kvcache.go
@@ -44,7 +44,7 @@
 	return len(g.handles)
 }
 
-// kvTTL is how long an unclaimed KV cache is kept: the gateway that requested it may have died.
+// kvTTL is how long an unclaimed KV cache is kept: the gateway that requested it may have crashed.
 const kvTTL = 5 * time.Second
 
 // expire drops the expired KV caches. The caller holds g.mu.
--- a/standin/middleware.go
+++ b/standin/middleware.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// SetMiddleware wraps the server's handler: the returned handler sees each request first and may
+// SetMiddleware wraps the server's handler: the returned handler receives each request first and may
 // answer it itself. Nil removes the middleware.
 func (b *Backend) SetMiddleware(middleware func(own http.Handler) http.Handler) {
 	b.mu.Lock()
