--- a/placement/choose.go
+++ b/placement/choose.go
@@ -33,9 +33,9 @@
 // Choice is a pair of servers, or the reason why there is none.
 type Choice struct {
 	Prefill, Decode *Server
-	// PrefillReady is the estimated time from now to the end of the prefill.
+	// PrefillTime is the estimated time from now to the end of the prefill.
 	PrefillTime time.Duration
-	// FirstToken is the estimated time from now to the first token.
+	// FirstTokenTime is the estimated time from now to the first token.
 	FirstTokenTime time.Duration
 	// Work is the prefill work in tokens, without the expected cached part.
 	Work int
--- a/placement/server.go
+++ b/placement/server.go
@@ -131,8 +131,8 @@
 	return sum
 }
 
-// ownPrefillsAhead returns the number of prefills of this entry with at least a
-// priority.
+// ownPrefillsAhead returns the number of prefills of this entry whose priority
+// is the given one or higher.
 func (s *Server) ownPrefillsAhead(priority int) int {
 	n := 0
 	for i := 0; i <= priority; i++ {
