--- a/subset/subset.go
+++ b/subset/subset.go
@@ -15,9 +15,9 @@
 
 const (
 	// targetServers is the average number of servers of one group that a gateway sends requests to;
-	// of a smaller group it gets all. With 32 of 64 engines, a gateway's subset was full while
-	// other engines had free slots, and 0.04 of all value was lost. Updates of 96 busy servers take
-	// about 8 KB/s, within the 10 KB/s allowed per node.
+	// of a smaller group it gets all. With fewer, all engines of a gateway's subset can be full
+	// while other engines have free slots. Updates of 96 busy servers take about 8 KB/s, within the
+	// 10 KB/s allowed per node.
 	targetServers = 96
 	// minGatewaysPerServer is the minimum average number of gateways per server, which leaves next
 	// to no server without one.
