--- a/config/config.go
+++ b/config/config.go
@@ -133,10 +133,10 @@
 	After *strict.Duration `yaml:"after,omitempty" check:"min=0,max=604800000000000"`
 }
 
-// DefaultUpgradeAfter is used if the file sets no time. It equals DefaultDrain: for that time, the
-// last process of the old build may still be ending its streams, and only after it has the new
-// build been observed doing all of the work. Until the version rises, a rollback needs no more than
-// starting the old build again.
+// DefaultUpgradeAfter is used if the file sets no time. It equals DefaultDrain, the time for which
+// the last process of the old build may still be ending its streams: only afterwards can the new
+// build be observed serving all requests alone. Until the version rises, a rollback only requires
+// the old build to be started again.
 const DefaultUpgradeAfter = DefaultDrain
 
 // AfterOrDefault returns After, or DefaultUpgradeAfter if it is not set.
--- a/poison/digest.go
+++ b/poison/digest.go
@@ -10,8 +10,8 @@
 // request with the digest of another one.
 type Digest [16]byte
 
-// Content is what makes two requests the same: whose they are, where they go and what they ask. The
-// request ID isn't part of it, since each attempt of a caller has its own.
+// Content is what two requests must have in common to count as the same: organisation, method, host,
+// target and body. The request ID isn't part of it, since each attempt of a caller has its own.
 type Content struct {
 	// Organisation is empty if callers have no keys.
 	Organisation string
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -65,8 +65,8 @@
 }
 
 // TestNeighboursAreNotBlocked guards against blocking requests that were running next to a poison
-// request: one content ends a server at each attempt, and each server takes about ten other runs
-// with it. Those complete when they are sent again, and must never be refused.
+// request: one content ends a server at each attempt, and about ten other runs end with each
+// server. Those complete when they are sent again, and must never be refused.
 func TestNeighboursAreNotBlocked(t *testing.T) {
 	table, now, next := NewTable(), start, 100
 	poisonous, tries := digest(1), 0
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -58,8 +58,8 @@
 	// minPrefillUtilization is the utilization of prefill engines from which on decode
 	// engines may become prefill engines. When load rises, prefill engines are busy at
 	// once and decode engines only after runs have accumulated. The balance alone would
-	// take that for a shortage of prefill engines and remove decode engines at the worst
-	// time.
+	// take that for a shortage of prefill engines and remove decode engines just
+	// before they are required.
 	minPrefillUtilization = 0.55
 	// minImbalance is the number of engines by which the balance must be off. Up to half
 	// an engine is only rounding.
@@ -85,8 +85,8 @@
 	plannedAt   time.Time
 	changedAt   time.Time
 	engineCount int
-	// loaded reports whether there has been load since the start. Before that, engines
-	// are not missed, and several may change their roles at once.
+	// loaded reports whether there has been load since the start. Before that, no
+	// engine is in use, and several may change their roles at once.
 	loaded bool
 }
 
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -171,7 +171,7 @@
 	assert.Assert(t, ok && o.Role == registry.Prefill, "below the minimum of prefill engines")
 }
 
-// TestIdlePrefillEnginesChangeSecondsAfterFirstLoad replays the start of a load on 64
+// TestIdlePrefillEnginesChangeSecondsAfterFirstLoad simulates the start of a load on 64
 // engines, of which the settings make a third prefill engines while a sixth is required:
 // most of the surplus changes in one step, within five and a half seconds of the first
 // request, and no decode engine changes.
--- a/warmup/broker.go
+++ b/warmup/broker.go
@@ -49,8 +49,8 @@
 // Broker leases one replica's shares of cold servers to gateways. A Broker isn't safe for
 // concurrent use.
 type Broker struct {
-	// noGrantsUntil is when it may grant leases: an earlier process of the replica may have granted
-	// some just before this one started.
+	// noGrantsUntil is the time before which it grants no leases: an earlier process of the
+	// replica may have granted some just before this one started.
 	noGrantsUntil time.Time
 	leases        map[string]*grantedLease
 }
--- a/warmup/sim_test.go
+++ b/warmup/sim_test.go
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestChoiceByNameExceedsBound shows why there are leases: gateways that choose by name are sooner
-// or later too many at some server, especially after a restart of all, when they don't know how
-// many they are.
+// TestChoiceByNameExceedsBound shows why there are leases: sooner or later, too many of the gateways
+// that choose by name send to one server, especially after a restart of all, when no gateway has
+// discovered all others yet.
 func TestChoiceByNameExceedsBound(t *testing.T) {
 	worst := 0
 	for _, gateways := range []int{4, 21, 103, 608} {
