--- a/admission/queue.go
+++ b/admission/queue.go
@@ -218,7 +218,7 @@
 }
 
 const (
-	// scanMargin makes the scan of a heap reach slightly later deadlines.
+	// scanMargin extends the scan of a heap to slightly later deadlines.
 	scanMargin = 10 * time.Millisecond
 	// maxServiceTime is the assumed maximum time from the start of a request to
 	// its first token.
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -39,8 +39,8 @@
 	g.voters[name] = claim.NewVoter(now, name, g.starts, names, lifetime)
 }
 
-// copyAll lets a voter that is not ready copy the grants of the named members,
-// as far as they are ready.
+// copyAll lets a voter that is not ready copy the grants of those named members
+// that are ready.
 func (g *group) copyAll(now time.Time, name string, from []string) {
 	for _, m := range from {
 		for request := g.voters[name].NextCopyRequest(m); request != nil && m != name && g.voters[m].Ready(); request = g.voters[name].NextCopyRequest(m) {
--- a/claim/proposer.go
+++ b/claim/proposer.go
@@ -98,7 +98,7 @@
 		return Won
 	}
 	if len(p.votes) < p.size && !last {
-		return Pending // a later vote may show that nobody has won
+		return Pending // a later vote may show that no attempt has won
 	}
 	return p.lossVerdict(holders, unknown)
 }
--- a/eventstream/doc.go
+++ b/eventstream/doc.go
@@ -1,9 +1,9 @@
 // Package eventstream reads event streams (text/event-stream) and decides whether an
 // event may be forwarded to the waiting caller.
 //
-// Both parts are plain state, without clock, goroutine or socket. A Reader takes the
+// Both parts are plain state, without clock, goroutine or socket. A Reader reads the
 // bytes of one engine as they arrive and returns complete blocks, byte for byte. A
-// Sequencer takes the blocks of one caller's answer, whichever engines generate them, and
+// Sequencer checks the blocks of one caller's answer, whichever engines generate them, and
 // returns a Verdict on each: the caller receives no event twice and misses none.
 //
 //	for len(piece) > 0 {
--- a/eventstream/reader_test.go
+++ b/eventstream/reader_test.go
@@ -175,7 +175,7 @@
 	assert.Assert(t, cap(r.partial) <= 2*MaxBlockBytes, "buffer of %d bytes", cap(r.partial))
 }
 
-// TestReset reads another stream after one that was cut off.
+// TestReset reads another stream after one that was interrupted.
 func TestReset(t *testing.T) {
 	var r Reader
 	read(t, &r, "data\r\n\r", "\nid: 1\r")
--- a/eventstream/sequence_test.go
+++ b/eventstream/sequence_test.go
@@ -41,7 +41,7 @@
 	comment   = step{kind: NoData, noID: true, want: Pass}
 )
 
-// TestSequence plays the blocks of one caller's answer.
+// TestSequence checks the verdicts on the blocks of one caller's answer.
 func TestSequence(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/membudget/ledger.go
+++ b/membudget/ledger.go
@@ -39,8 +39,8 @@
 // ledger decides which requests get memory. It reads no clock and never blocks.
 type ledger struct {
 	limits Limits
-	// shared is the number of bytes held outside the reserve, organisations the part of each
-	// organisation.
+	// shared is the number of bytes held outside the reserve, organisations the number of those
+	// that each organisation holds.
 	shared        int64
 	organisations map[string]int64
 	// reserveHolder is the request that may use the reserve.
