--- a/soak/disturber.go
+++ b/soak/disturber.go
@@ -79,17 +79,17 @@
 	if choice >= 0 && choice < len(callDisturbances) {
 		d.countDisturbance(callDisturbances[choice])
 	}
-	late := time.Duration(max(d.draw(DisturbCalls, int(maxLateness)), 0))
+	delay := time.Duration(max(d.draw(DisturbCalls, int(maxLateness)), 0))
 	switch choice {
 	case 0:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case 1, 2:
-		time.Sleep(late)
+		time.Sleep(delay)
 		next.ServeHTTP(w, r)
 	case 3, 4:
 		b := &bufferedAnswer{header: http.Header{}, status: http.StatusOK}
 		next.ServeHTTP(b, r)
-		time.Sleep(late)
+		time.Sleep(delay)
 		b.sendTo(w)
 	case 5:
 		next.ServeHTTP(&bufferedAnswer{header: http.Header{}}, r)
