--- a/selfreport/pause.go
+++ b/selfreport/pause.go
@@ -4,11 +4,11 @@
 
 // Constants of pauses and of the return after them.
 const (
-	// MaxPause bounds the pause that a server can ask for: one that asks for years by mistake
+	// MaxPause bounds the pause that a server can request: one that requests years by mistake
 	// is tried again.
 	MaxPause = time.Hour
 	// minReportedExtension is the shortest extension of a pause that counts as a change:
-	// refusals of requests that were under way together extend the pause by some milliseconds
+	// rejections of requests that were under way together extend the pause by some milliseconds
 	// each.
 	minReportedExtension = 500 * time.Millisecond
 	// rampTime is the time after a pause in which a gateway raises the number of requests
@@ -24,11 +24,11 @@
 	maxSpread        = 2 * time.Second
 )
 
-// Pause is the time for which a server has asked this gateway to send no requests, by the
-// Retry-After of its refusals, and how the gateway returns afterwards. The zero value is no
+// Pause is a pause without requests that a server has requested from this gateway, by the
+// Retry-After of its rejections, and how the gateway returns afterwards. The zero value is no
 // pause.
 type Pause struct {
-	// until is the latest end that the server asked for, resumeAt when this gateway sends
+	// until is the latest end that the server requested, resumeAt when this gateway sends
 	// again.
 	until, resumeAt time.Time
 	// freeingSent is true once a call that frees something at the server was sent in the
@@ -44,9 +44,9 @@
 	return min(time.Duration(max(gateways-1, 0))*spreadPerGateway, maxSpread, pause/2)
 }
 
-// Extend records that an answer, received at the given time, asks for a pause of d; offset is
+// Extend records that an answer, received at the given time, requests a pause of d; offset is
 // how much later this gateway returns. A shorter pause doesn't end a longer one, since the
-// server asked for both. It reports whether the pause has begun or is much longer now.
+// server requested both. It reports whether the pause has begun or is much longer now.
 func (p *Pause) Extend(received time.Time, d, offset time.Duration) bool {
 	until := received.Add(min(d, MaxPause))
 	if !until.After(p.until) {
@@ -60,7 +60,7 @@
 	return changed
 }
 
-// Active reports whether the server has asked for no requests now.
+// Active reports whether a requested pause is in progress.
 func (p *Pause) Active(now time.Time) bool { return now.Before(p.until) }
 
 // Remaining returns how long this gateway sends nothing to the server; zero if it may send.
--- a/selfreport/pause_test.go
+++ b/selfreport/pause_test.go
@@ -17,7 +17,7 @@
 
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-// TestPausedServerGetsAtMostOneFreeingCall has a server ask for pauses at random times and in
+// TestPausedServerGetsAtMostOneFreeingCall has a server request pauses at random times and in
 // random order. In a pause nothing but one call that frees something is admitted, and the
 // server may be chosen again soon after the last pause.
 func TestPausedServerGetsAtMostOneFreeingCall(t *testing.T) {
@@ -99,7 +99,7 @@
 	assert.Equal(t, begin(at(13*second)), 1000, "a server that serves nothing is bounded for ever")
 }
 
-// TestPauseIsBounded guards against a server that asks for a pause of years and is never
+// TestPauseIsBounded guards against a server that requests a pause of years and is never
 // tried again.
 func TestPauseIsBounded(t *testing.T) {
 	var p selfreport.Pause
--- a/selfreport/report.go
+++ b/selfreport/report.go
@@ -32,7 +32,7 @@
 	Sent, Received time.Time
 	// Limit is in requests a second; nil if the answer has none, which ends a limit.
 	Limit *float64
-	// RetryAfter is zero if the server asks for no pause.
+	// RetryAfter is zero if the server requests no pause.
 	RetryAfter time.Duration
 	Leaving    bool
 	// Cold is nil if the answer has no such field.
--- a/standin/selfreport.go
+++ b/standin/selfreport.go
@@ -69,7 +69,7 @@
 	return false
 }
 
-// RejectFor returns a self-report that rejects every request and asks for a pause of some seconds.
+// RejectFor returns a self-report that rejects every request and requests a pause of some seconds.
 func RejectFor(seconds string) func(*http.Request) SelfReport {
 	return func(*http.Request) SelfReport { return SelfReport{RetryAfter: []string{seconds}} }
 }
