--- a/control/cold.go
+++ b/control/cold.go
@@ -64,7 +64,7 @@
 		return
 	}
 	leases := map[string][]wire.ColdLease{}
-	for _, g := range h.broker.Lend(now, cold) {
+	for _, g := range h.broker.Lease(now, cold) {
 		leases[g.Gateway] = append(leases[g.Gateway], wire.ColdLease{Server: g.Server, Most: shares[g.Server], For: warmup.LeaseTTL})
 	}
 	for l, g := range h.gateways {
--- a/standin/kept.go
+++ b/standin/kept.go
@@ -14,8 +14,8 @@
 	platformKeptPath = "/-/kv-list"
 )
 
-// ReadTokens returns the number of prompt tokens that the engine has prefilled.
-func (b *Backend) ReadTokens() int {
+// PrefilledTokens returns the number of prompt tokens that the engine has prefilled.
+func (b *Backend) PrefilledTokens() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.readTokens
--- a/warmup/broker.go
+++ b/warmup/broker.go
@@ -74,9 +74,9 @@
 // Grant is the lease of a server to a gateway.
 type Grant struct{ Server, Gateway string }
 
-// Lend returns the leases to send now: for each cold server one lease, to the same gateway as long
+// Lease returns the leases to send now: for each cold server one lease, to the same gateway as long
 // as that is among those that may get it.
-func (b *Broker) Lend(now time.Time, list []ColdServer) []Grant {
+func (b *Broker) Lease(now time.Time, list []ColdServer) []Grant {
 	held := map[string]int{}
 	for id, l := range b.leases {
 		if now.Sub(l.renewedAt) >= LeaseTTL+reassignDelay {
